--- a/include/flaxtiller/dispatch/action.hpp
+++ b/include/flaxtiller/dispatch/action.hpp
@@ -24,7 +24,8 @@
 
 /// @brief Instructs the caller of a @ref scheduler to ask a backend server to stop an attempt.
 ///
-/// The response of the backend server to the cancel is passed to scheduler::on_result as the attempt's result.
+/// The response of the backend server to the cancel is passed to scheduler::on_result as the attempt's
+/// result.
 struct cancel_attempt
 {
     attempt_id attempt = 0;
--- a/include/flaxtiller/dispatch/admission.hpp
+++ b/include/flaxtiller/dispatch/admission.hpp
@@ -8,8 +8,8 @@
 /// @brief Admission control: decides, before any subquery is sent, whether a query can be answered before its
 /// deadline.
 ///
-/// The decision covers all shards of the query together. If each shard refused subqueries independently, nearly
-/// every answer would be partial under overload.
+/// The decision covers all shards of the query together. If each shard refused subqueries independently,
+/// nearly every answer would be partial under overload.
 struct admission
 {
     /// The share of the remaining time that queueing and processing together may take.
--- a/include/flaxtiller/dispatch/attempt_result.hpp
+++ b/include/flaxtiller/dispatch/attempt_result.hpp
@@ -40,8 +40,8 @@
     duration retry_after{};
     /// Whether the backend server reported, in an answer, that it is being shut down or moved.
     bool leaving = false;
-    /// For the status @ref attempt_status::cut : whether the backend server accepted the connection, closed it
-    /// before the first byte of an answer, and refuses new connections, as a crashed process does.
+    /// For the status @ref attempt_status::cut : whether the backend server accepted the connection, closed
+    /// it before the first byte of an answer, and refuses new connections, as a crashed process does.
     bool hung_up = false;
 
     bool operator==(const attempt_result&) const = default;
--- a/include/flaxtiller/dispatch/owner_choice.hpp
+++ b/include/flaxtiller/dispatch/owner_choice.hpp
@@ -25,8 +25,9 @@
 
 /// @return the number of instances that may own a service's backend servers at the same time.
 ///
-/// The share of each candidate must cover the slots, one pipelined attempt and one connection for cancels. One
-/// additional share is kept free for the time in which instances use two revisions with different candidates.
+/// The share of each candidate must cover the slots, one pipelined attempt and one connection for cancels.
+/// One additional share is kept free for the time in which instances use two revisions with different
+/// candidates.
 int candidate_count(const placed_service& service, int instances);
 
 /// @return the connections that one candidate may use
--- a/include/flaxtiller/dispatch/scheduler.hpp
+++ b/include/flaxtiller/dispatch/scheduler.hpp
@@ -22,14 +22,15 @@
 
 /// @brief Runs the subqueries of one service on the backend servers that this instance owns.
 ///
-/// The scheduler starts at most as many attempts on a backend server as the server has slots, plus a pipelined
-/// attempt, and queues the other subqueries by deadline. An attempt is overdue when, according to the observed
-/// latencies, a new attempt is expected to be faster. An overdue attempt is hedged by a second attempt where
-/// another backend server has a free slot. Otherwise it is cancelled, and its replacement is first in the queue.
+/// The scheduler starts at most as many attempts on a backend server as the server has slots, plus a
+/// pipelined attempt, and queues the other subqueries by deadline. An attempt is overdue when, according to
+/// the observed latencies, a new attempt is expected to be faster. An overdue attempt is hedged by a second
+/// attempt where another backend server has a free slot. Otherwise it is cancelled, and its replacement is
+/// first in the queue.
 ///
-/// The class is a deterministic state machine without I/O: its caller passes events with the current time to it
-/// and performs the actions that @ref take_actions returns. The cost of an event does not depend on the number
-/// of backend servers.
+/// The class is a deterministic state machine without I/O: its caller passes events with the current time to
+/// it and performs the actions that @ref take_actions returns. The cost of an event does not depend on the
+/// number of backend servers.
 class scheduler
 {
   public:
@@ -37,7 +38,8 @@
 
     // ------------------------------------------------------------------ events
 
-    /// @brief Sets the service's shards and backend servers. Observations of backend servers are kept by name.
+    /// @brief Sets the service's shards and backend servers. Observations of backend servers are kept by
+    /// name.
     /// @param candidates the number of instances that may own the service, among which the connections are
     /// divided
     void configure(const placed_service& placed, int candidates, time_point now);
@@ -57,7 +59,7 @@
     ///
     /// The limit also applies to a backend server that a later call of @ref configure adds.
     void set_warmup_limit(const backend_server_name& server, time_point until, const warmup_share& share,
-                    time_point now);
+                          time_point now);
 
     /// @brief Adds a subquery to run.
     void submit(const subquery& spec, time_point now);
@@ -106,7 +108,7 @@
     /// @param regions see @ref subquery::regions
     /// @param retry_after set to the time after which the subquery can be run, where that is known
     missing_reason unavailable_reason(int shard, const std::shared_ptr<const region_set>& regions,
-                                   time_point now, duration& retry_after) const;
+                                      time_point now, duration& retry_after) const;
 
     /// @return the age at which an attempt is overdue, according to the latencies of the whole service
     duration service_overdue_after() const;
@@ -176,7 +178,8 @@
         time_point started_at;
         /// See @ref subquery::size.
         double size = 1.0;
-        /// Whether the attempt waits at the backend server for a slot, so that @ref started_at is an estimate.
+        /// Whether the attempt waits at the backend server for a slot, so that @ref started_at is an
+        /// estimate.
         bool pipelined = false;
         bool cancelling = false;
         /// Whether the attempt is counted in @ref server_state::overdue_in_use.
--- a/include/flaxtiller/dispatch/server_state.hpp
+++ b/include/flaxtiller/dispatch/server_state.hpp
@@ -19,17 +19,18 @@
 /// corresponds to a few seconds.
 inline constexpr double server_latency_memory = 200.0;
 
-/// @brief The state of one backend server as known to one scheduler, from the configuration and from the answers
-/// to the scheduler's own attempts.
+/// @brief The state of one backend server as known to one scheduler, from the configuration and from the
+/// answers to the scheduler's own attempts.
 struct server_state
 {
     backend_server definition;
-    /// The number of process runs of the backend server that were seen. The result of an attempt that was sent
-    /// to a previous run is not attributed to the current one.
+    /// The number of process runs of the backend server that were seen. The result of an attempt that was
+    /// sent to a previous run is not attributed to the current one.
     int run_number = 0;
     /// The shards that the backend server holds.
     std::vector<int> shards;
-    /// The number of attempts that use one of the slots, including attempts whose cancel is not confirmed yet.
+    /// The number of attempts that use one of the slots, including attempts whose cancel is not confirmed
+    /// yet.
     int in_use = 0;
     /// The number of these attempts that are overdue.
     int overdue_in_use = 0;
@@ -50,7 +51,8 @@
     bool listed_leaving = false;
     /// Whether the last answer of the backend server reported that it is leaving.
     bool reported_leaving = false;
-    /// Whether the backend server is no longer in the placement; its state is kept until its last attempt ends.
+    /// Whether the backend server is no longer in the placement; its state is kept until its last attempt
+    /// ends.
     bool retired = false;
     /// The region of the availability zone; empty where it is unknown.
     std::string region;
--- a/include/flaxtiller/dispatch/subquery.hpp
+++ b/include/flaxtiller/dispatch/subquery.hpp
@@ -41,9 +41,10 @@
     /// Whether another instance may have run the subquery already. Its first attempt is then an extra attempt
     /// and spends from the budget.
     bool again = false;
-    /// The backend server that is common to two instances which may run the same subquery without knowledge of
-    /// each other's attempts. The first instance uses this backend server and at most one other, and the
-    /// instance that runs the subquery again uses only this one, so that at most two backend servers are used.
+    /// The backend server that is common to two instances which may run the same subquery without knowledge
+    /// of each other's attempts. The first instance uses this backend server and at most one other, and the
+    /// instance that runs the subquery again uses only this one, so that at most two backend servers are
+    /// used.
     backend_server_name designated;
     /// Set for the subqueries of a fan-out. While none of them is answered, the request itself may be slow,
     /// rather than the backend servers, so that only a few overdue subqueries are hedged.
--- a/include/flaxtiller/dispatch/token_budget.hpp
+++ b/include/flaxtiller/dispatch/token_budget.hpp
@@ -58,7 +58,8 @@
         return std::min(m_burst, m_tokens + std::max((then - m_advanced_to).ms(), 0.0) * m_per_ms);
     }
 
-    /// @return the time at which a token is available if none is earned; time_point::never() if time adds no tokens
+    /// @return the time at which a token is available if none is earned; time_point::never() if time adds no
+    /// tokens
     time_point next_token_at() const noexcept
     {
         if (m_burst < 1.0 || (m_per_ms <= 0.0 && m_tokens < 1.0))
--- a/include/flaxtiller/dispatch/warmup_share.hpp
+++ b/include/flaxtiller/dispatch/warmup_share.hpp
@@ -32,8 +32,8 @@
 ///
 /// In any second an instance sends at most its burst plus its rate, and the sum of these over all instances
 /// stays within the bound. A share of less than one request could either never be used or would exceed the
-/// bound if all instances rounded it up. Where there are more instances than whole requests, the instances with
-/// the lowest ranks therefore get one request each and the others get none.
+/// bound if all instances rounded it up. Where there are more instances than whole requests, the instances
+/// with the lowest ranks therefore get one request each and the others get none.
 ///
 /// The bound protects the backend servers of an availability zone that returns cold while all of its load is
 /// waiting. Part of the bound is reserved for the time in which instances disagree about the senders; see
--- a/src/dispatch/latency_estimator.cpp
+++ b/src/dispatch/latency_estimator.cpp
@@ -16,8 +16,8 @@
 constexpr std::size_t recompute_every = 32;
 /// The expected latency of a new attempt, as a multiple of the median.
 constexpr double fresh_ratio = 1.2;
-/// Where all attempts older than some age were cancelled, their expected remaining time is this multiple of the
-/// age.
+/// Where all attempts older than some age were cancelled, their expected remaining time is this multiple of
+/// the age.
 constexpr double censored_tail_ratio = 1.0;
 
 template <typename Axis>
--- a/src/dispatch/scheduler.cpp
+++ b/src/dispatch/scheduler.cpp
@@ -103,7 +103,7 @@
 }
 
 void scheduler::set_regions(shared_value<std::map<std::string, std::string>> region_of_zone,
-                           std::string own_region)
+                            std::string own_region)
 {
     m_region_of_zone = std::move(region_of_zone);
     m_own_region = std::move(own_region);
@@ -115,7 +115,7 @@
 }
 
 void scheduler::set_warmup_limit(const backend_server_name& name, time_point until, const warmup_share& share,
-                           time_point now)
+                                 time_point now)
 {
     if (until > now)
     {
@@ -175,15 +175,17 @@
     (void)server.cold_tokens.spend();
     if (!server.cold_tokens.can_spend())
     {
-        arm(std::min(server.cold_tokens.next_token_at(), server.cold_until), timer_kind::server_available, index);
+        arm(std::min(server.cold_tokens.next_token_at(), server.cold_until), timer_kind::server_available,
+            index);
     }
 }
 
-/// @return the time that a new subquery would wait for a warm-up token where all eligible backend servers are cold
+/// @return the time that a new subquery would wait for a warm-up token where all eligible backend servers are
+/// cold
 ///
-/// Tokens become available one at a time at each backend server. Without this estimate, subqueries that exceed
-/// the warm-up capacity wait in the queue until their deadline: 313 of 458 requests in a simulation of 11
-/// instances, 150 requests per second and three cold replicas, and 47 of 539 with it.
+/// Tokens become available one at a time at each backend server. Without this estimate, subqueries that
+/// exceed the warm-up capacity wait in the queue until their deadline: 313 of 458 requests in a simulation of
+/// 11 instances, 150 requests per second and three cold replicas, and 47 of 539 with it.
 duration scheduler::warmup_wait(const pending_subquery& item, time_point now) const
 {
     const shard_state& shard = m_shards[static_cast<std::size_t>(item.spec.shard)];
@@ -257,7 +259,8 @@
 
 void scheduler::arm_overdue_timer(attempt_id id, const pending_subquery& item, time_point at)
 {
-    // The subquery ends at its deadline; a timer beyond it would have no effect but be kept for up to an hour.
+    // The subquery ends at its deadline; a timer beyond it would have no effect but be kept for up to an
+    // hour.
     if (at < item.spec.deadline)
     {
         arm(at, timer_kind::overdue, id);
@@ -322,24 +325,24 @@
     {
         return;
     }
-    attempt& target = found->second;
-    server_state& server = m_servers[target.server];
-    const duration limit = overdue_after(target);
-    if (now - target.started_at >= limit && !target.is_overdue)
+    attempt& overdue = found->second;
+    server_state& server = m_servers[overdue.server];
+    const duration limit = overdue_after(overdue);
+    if (now - overdue.started_at >= limit && !overdue.is_overdue)
     {
-        target.is_overdue = true;
+        overdue.is_overdue = true;
         ++server.overdue_in_use;
     }
-    const auto pending_found = m_pending.find(target.subquery);
+    const auto pending_found = m_pending.find(overdue.subquery);
     if (pending_found == m_pending.end())
     {
         return;
     }
     pending_subquery& item = pending_found->second;
-    if (now - target.started_at < limit)
+    if (now - overdue.started_at < limit)
     {
         // The limit has increased since the timer was set.
-        arm_overdue_timer(id, item, target.started_at + limit);
+        arm_overdue_timer(id, item, overdue.started_at + limit);
         return;
     }
     if (now >= item.spec.deadline)
@@ -359,10 +362,10 @@
     {
         return;
     }
-    const auto elsewhere = free_server(item, now, target.server);
-    // Where a cancel costs a new connection, replacing an attempt on the same backend server would discard the
-    // work done for the attempt, and its place in the queue of a server without a free slot. That happened 100
-    // times in 2.5 s while other backend servers had crashed.
+    const auto elsewhere = free_server(item, now, overdue.server);
+    // Where a cancel costs a new connection, replacing an attempt on the same backend server would discard
+    // the work done for the attempt, and its place in the queue of a server without a free slot. That
+    // happened 100 times in 2.5 s while other backend servers had crashed.
     const bool may_replace = m_options.cancel_losers && now >= server.replace_paused_until;
     if ((!elsewhere && !may_replace) || !spend_budget(now))
     {
--- a/src/dispatch/scheduler_choice.cpp
+++ b/src/dispatch/scheduler_choice.cpp
@@ -18,9 +18,10 @@
     return shard >= 0 && static_cast<std::size_t>(shard) < m_shards.size();
 }
 
-/// @return whether only the backend server itself reported that it is leaving, and did so long enough ago. The
-/// time is shorter where no other backend server of the shard is available.
-bool scheduler::may_have_come_back(const server_state& server, const pending_subquery& item, time_point now) const
+/// @return whether only the backend server itself reported that it is leaving, and did so long enough ago.
+/// The time is shorter where no other backend server of the shard is available.
+bool scheduler::may_have_come_back(const server_state& server, const pending_subquery& item,
+                                   time_point now) const
 {
     const bool others_say_so = server.definition.leaving || server.listed_leaving || server.retired;
     if (others_say_so || !server.reported_leaving || server.in_use > 0)
@@ -33,7 +34,8 @@
                                    {
                                        return m_servers[index].is_leaving();
                                    });
-    return now - server.reported_leaving_at >= (alone ? m_options.retry_leaving_after_if_alone : m_options.retry_leaving_after);
+    return now - server.reported_leaving_at >=
+           (alone ? m_options.retry_leaving_after_if_alone : m_options.retry_leaving_after);
 }
 
 /// @return whether the backend server may be used under the rule of @ref subquery::designated
@@ -126,7 +128,8 @@
 duration scheduler::service_overdue_after() const
 {
     const bool enough = m_latency.samples() >= min_service_samples;
-    return enough ? std::max(m_latency.overdue_after(), m_options.min_overdue_after) : m_options.initial_overdue_after;
+    return enough ? std::max(m_latency.overdue_after(), m_options.min_overdue_after)
+                  : m_options.initial_overdue_after;
 }
 
 duration scheduler::overdue_after(const server_state& server) const
@@ -138,8 +141,8 @@
     }
     const bool known = server.recent_samples >= min_server_samples;
     const double ratio = known ? server.recent_latency.ms() / m_latency.median().ms() : 1.0;
-    // A single backend server has too few stragglers to estimate their share, so that only its overall slowness
-    // is taken into account.
+    // A single backend server has too few stragglers to estimate their share, so that only its overall
+    // slowness is taken into account.
     return ratio > m_options.slower_ratio ? limit * std::min(ratio, max_overdue_ratio) : limit;
 }
 
@@ -174,9 +177,10 @@
         return is_stalled(b);
     }
     const double more_failing = current_failure_rate(a, now) - current_failure_rate(b, now);
-    // A backend server that fails more attempts is preferred only while it has fewer attempts in progress than
-    // the other, as each failure spends from the retry budget. Once the budget is spent it is not preferred at
-    // all, because a subquery that it refuses would be lost. The budget thus limits the load on a failing server.
+    // A backend server that fails more attempts is preferred only while it has fewer attempts in progress
+    // than the other, as each failure spends from the retry budget. Once the budget is spent it is not
+    // preferred at all, because a subquery that it refuses would be lost. The budget thus limits the load on
+    // a failing server.
     const bool would_lose = !can_afford_retry();
     if (more_failing < -failure_rate_tolerance && (would_lose || a.in_use <= b.in_use))
     {
@@ -209,11 +213,12 @@
     const connection_share share = own_share(server);
     const bool spare_connection = share.for_subqueries > server.definition.slots;
     const bool queues = now - server.shed_at >= m_options.pipelining_pause_after_shed;
-    return m_options.max_pipelined > 0 && spare_connection && queues && usable(server, now) && server.pipelined_attempt == 0 &&
-           server.ejections_in_row == 0 && server.in_use == slots_of(server);
+    return m_options.max_pipelined > 0 && spare_connection && queues && usable(server, now) &&
+           server.pipelined_attempt == 0 && server.ejections_in_row == 0 && server.in_use == slots_of(server);
 }
 
-std::optional<scheduler::server_index> scheduler::pipelining_server(const pending_subquery& item, time_point now) const
+std::optional<scheduler::server_index> scheduler::pipelining_server(const pending_subquery& item,
+                                                                    time_point now) const
 {
     std::optional<server_index> best;
     if (!item.spec.repeatable)
--- a/src/dispatch/scheduler_detail.hpp
+++ b/src/dispatch/scheduler_detail.hpp
@@ -13,23 +13,23 @@
 inline constexpr double max_overdue_ratio = 3.0;
 /// The moving average counts a latency as at most this multiple of the median.
 inline constexpr double outlier_ratio = 4.0;
-/// A higher failure rate counts as this one, so that the expected latency stays finite and backend servers that
-/// nearly always fail can still be ordered by latency.
+/// A higher failure rate counts as this one, so that the expected latency stays finite and backend servers
+/// that nearly always fail can still be ordered by latency.
 inline constexpr double max_counted_failure_rate = 0.95;
 /// Failure rates that differ by less count as equal. The value is about one failure among the attempts that
 /// @ref failure_rate covers.
 inline constexpr double failure_rate_tolerance = 0.15;
-/// The cost of a lost subquery in the choice between backend servers, as a multiple of the median latency. It is
-/// about the time that remains for a fan-out whose latency objective is ten medians. In a simulation of 105
-/// fan-outs per second over 20 pairs of replicas, one of each pair refusing three of five attempts, this cost
-/// raised the worth of urgent requests from 0.94 to 0.98 of the maximum, and reduced the failed wide requests
-/// from 41 to none of 2,800.
+/// The cost of a lost subquery in the choice between backend servers, as a multiple of the median latency. It
+/// is about the time that remains for a fan-out whose latency objective is ten medians. In a simulation of
+/// 105 fan-outs per second over 20 pairs of replicas, one of each pair refusing three of five attempts, this
+/// cost raised the worth of urgent requests from 0.94 to 0.98 of the maximum, and reduced the failed wide
+/// requests from 41 to none of 2,800.
 inline constexpr double lost_part_penalty = 10.0;
 inline constexpr double min_average_weight = 0.1;
 /// The weight of one attempt in the moving average of the time for which an attempt uses a slot.
 inline constexpr double mean_hold_weight = 0.01;
-/// The number of queued subqueries of a shard that are examined for a free slot, as some may not be eligible for
-/// the backend server.
+/// The number of queued subqueries of a shard that are examined for a free slot, as some may not be eligible
+/// for the backend server.
 inline constexpr int queue_scan_limit = 8;
 inline constexpr duration min_backoff = duration::from_ms(2);
 inline constexpr duration max_backoff = duration::from_ms(100);
--- a/src/dispatch/scheduler_queue.cpp
+++ b/src/dispatch/scheduler_queue.cpp
@@ -164,8 +164,8 @@
         {
             return;
         }
-        // The answer would probably come after the deadline, and the slot would be wasted at the expense of the
-        // next subquery.
+        // The answer would probably come after the deadline, and the slot would be wasted at the expense of
+        // the next subquery.
         head.retry_after = estimated_wait(shard);
         give_up(head, missing_reason::overloaded, now);
     }
--- a/src/dispatch/scheduler_results.cpp
+++ b/src/dispatch/scheduler_results.cpp
@@ -24,7 +24,8 @@
     }
     const attempt ended = found->second;
     m_attempts.erase(found);
-    // Most attempts end before they are overdue; a timer that is left behind would wake the process needlessly.
+    // Most attempts end before they are overdue; a timer that is left behind would wake the process
+    // needlessly.
     m_timers.erase({ended.overdue_timer_at, timer_kind::overdue, id});
     server_state& server = m_servers[ended.server];
     --server.in_use;
@@ -83,7 +84,8 @@
         server.failures_in_row = 0;
         server.ejections_in_row = 0;
     }
-    if (result.status == attempt_status::cancelled && now - ended.cancelled_at <= m_options.cancel_confirmation_timeout)
+    if (result.status == attempt_status::cancelled &&
+        now - ended.cancelled_at <= m_options.cancel_confirmation_timeout)
     {
         server.cancel_failures_in_row = 0;
     }
@@ -175,7 +177,8 @@
     finish(item.spec.id, std::move(done), now);
 }
 
-void scheduler::on_failure(pending_subquery& item, server_index index, const attempt_result& result, time_point now)
+void scheduler::on_failure(pending_subquery& item, server_index index, const attempt_result& result,
+                           time_point now)
 {
     if (!was_not_run(result.status))
     {
@@ -212,9 +215,9 @@
     {
         return false;
     }
-    // Where no connection could be established, nothing was sent and no backend server was loaded. Charging the
-    // budget for such attempts lost subqueries whose other replica was healthy, which cost 0.008 of the total
-    // worth in simulated days with crashed backend servers (15 paired days).
+    // Where no connection could be established, nothing was sent and no backend server was loaded. Charging
+    // the budget for such attempts lost subqueries whose other replica was healthy, which cost 0.008 of the
+    // total worth in simulated days with crashed backend servers (15 paired days).
     const bool never_sent = result.status == attempt_status::unreachable;
     const bool costs = !never_sent && (!not_run || m_options.charge_refusals);
     if (!costs)
@@ -287,7 +290,7 @@
 }
 
 missing_reason scheduler::unavailable_reason(int shard, const std::shared_ptr<const region_set>& regions,
-                                          time_point now, duration& retry_after) const
+                                             time_point now, duration& retry_after) const
 {
     if (!is_known_shard(shard))
     {
@@ -299,7 +302,8 @@
     return blocked_reason(any, now, retry_after);
 }
 
-missing_reason scheduler::blocked_reason(const pending_subquery& item, time_point now, duration& retry_after) const
+missing_reason scheduler::blocked_reason(const pending_subquery& item, time_point now,
+                                         duration& retry_after) const
 {
     const auto& replicas = m_shards[static_cast<std::size_t>(item.spec.shard)].replicas;
     bool any_staying = false;
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -105,7 +105,7 @@
     const shard_plan::sender own = m_groups.plan().rank_of(cold.service, name.str());
     const lane_index at = lane_of(cold.service);
     m_lanes.at(at).scheduler.set_warmup_limit(name, cold.until,
-                                        dispatch::warmup_share_of(bound, own.senders, own.rank), now);
+                                              dispatch::warmup_share_of(bound, own.senders, own.rank), now);
     collect(at, now);
 }
 
--- a/src/shell/service_lane.cpp
+++ b/src/shell/service_lane.cpp
@@ -250,11 +250,13 @@
 {
     const auto& scheduler = m_coordinator.scheduler();
     const time_point now = m_clock.now();
-    nlohmann::json j = {
-        {"open_queries", m_coordinator.open_queries()},    {"queued_subqueries", scheduler.queued()},
-        {"running_attempts", scheduler.running()},         {"attempts_started", scheduler.attempts_started()},
-        {"subqueries_finished", scheduler.finished()},     {"extra_load_budget", scheduler.budget()},
-        {"late_after_ms", scheduler.service_overdue_after().ms()}};
+    nlohmann::json j = {{"open_queries", m_coordinator.open_queries()},
+                        {"queued_subqueries", scheduler.queued()},
+                        {"running_attempts", scheduler.running()},
+                        {"attempts_started", scheduler.attempts_started()},
+                        {"subqueries_finished", scheduler.finished()},
+                        {"extra_load_budget", scheduler.budget()},
+                        {"late_after_ms", scheduler.service_overdue_after().ms()}};
     for (const dispatch::server_state* server : scheduler.servers())
     {
         nlohmann::json item = {{"name", server->definition.name},
--- a/tests/src/unit-policy-shared.cpp
+++ b/tests/src/unit-policy-shared.cpp
@@ -1,5 +1,5 @@
-// Regression tests for the worth of the answers where several entries share pairs of replicas. The simulations
-// run in virtual time, so that their results are the same on every computer.
+// Regression tests for the worth of the answers where several entries share pairs of replicas. The
+// simulations run in virtual time, so that their results are the same on every computer.
 
 #include "shared_replicas.hpp"
 
@@ -14,8 +14,8 @@
 constexpr double fan_outs_per_second = 105.0;
 constexpr double warm_up_ms = 10000.0;
 constexpr double fault_ms = 9000.0;
-/// The number of shards with a faulty replica in tests in which not all shards have one. It exceeds the number of
-/// shards that the answer to a wide request may lack.
+/// The number of shards with a faulty replica in tests in which not all shards have one. It exceeds the
+/// number of shards that the answer to a wide request may lack.
 constexpr int faulty_shards = 7;
 
 /// @brief The sum of the tallies of several simulations, for wide and for urgent requests.
@@ -37,8 +37,8 @@
     }
 };
 
-/// @brief Runs simulations in which, after a time without faults, @a inject_fault is applied to one replica of each
-/// of the first @a shards shards.
+/// @brief Runs simulations in which, after a time without faults, @a inject_fault is applied to one replica
+/// of each of the first @a shards shards.
 /// @return the tallies since the fault
 template <typename Fault>
 route_tallies simulate_fault(int shards, Fault inject_fault)
@@ -69,16 +69,17 @@
     CHECK(tallies.wide.failed + tallies.urgent.failed == 0);
 }
 
-TEST_CASE("the worth of answers stays high if one replica of each pair refuses three of five attempts", "[policy]")
+TEST_CASE("the worth of answers stays high if one replica of each pair refuses three of five attempts",
+          "[policy]")
 {
     const route_tallies tallies = simulate_fault(shared_replicas::shards,
-                                    [](shared_replica& server)
-                                    {
-                                        server.refuses = 0.6;
-                                    });
+                                                 [](shared_replica& server)
+                                                 {
+                                                     server.refuses = 0.6;
+                                                 });
     CAPTURE(tallies.wide.worth_share(), tallies.urgent.worth_share(), tallies.wide.failed);
-    // Measured worth: 0.992 and 0.977, no failures. If the choice of a backend server ignores the retry budget:
-    // 0.955 and 0.937, 43 failures.
+    // Measured worth: 0.992 and 0.977, no failures. If the choice of a backend server ignores the retry
+    // budget: 0.955 and 0.937, 43 failures.
     CHECK(tallies.wide.worth_share() >= 0.98);
     CHECK(tallies.urgent.worth_share() >= 0.96);
     CHECK(tallies.wide.failed + tallies.urgent.failed <= 2);
@@ -87,13 +88,13 @@
 TEST_CASE("the worth of answers stays high if one replica of some pairs is seven times slower", "[policy]")
 {
     const route_tallies tallies = simulate_fault(faulty_shards,
-                                    [](shared_replica& server)
-                                    {
-                                        server.factor = 7.0;
-                                    });
+                                                 [](shared_replica& server)
+                                                 {
+                                                     server.factor = 7.0;
+                                                 });
     CAPTURE(tallies.wide.worth_share(), tallies.urgent.worth_share(), tallies.wide.late);
-    // Measured worth: 0.917 and 0.932. If overdue attempts are replaced on the same backend server and limits do
-    // not depend on the route: 0.908 and 0.902.
+    // Measured worth: 0.917 and 0.932. If overdue attempts are replaced on the same backend server and limits
+    // do not depend on the route: 0.908 and 0.902.
     CHECK(tallies.wide.worth_share() >= 0.905);
     CHECK(tallies.urgent.worth_share() >= 0.92);
     CHECK(tallies.wide.failed + tallies.urgent.failed == 0);
@@ -102,10 +103,10 @@
 TEST_CASE("the worth of answers stays high if one replica of some pairs refuses connections", "[policy]")
 {
     const route_tallies tallies = simulate_fault(faulty_shards,
-                                    [](shared_replica& server)
-                                    {
-                                        server.reachable = false;
-                                    });
+                                                 [](shared_replica& server)
+                                                 {
+                                                     server.reachable = false;
+                                                 });
     CAPTURE(tallies.wide.worth_share(), tallies.urgent.worth_share(), tallies.wide.late);
     // No fan-out fails. Nine fail if attempts that cannot connect spend from the retry budget.
     CHECK(tallies.wide.worth_share() >= 0.965);
--- a/tests/src/unit-policy.cpp
+++ b/tests/src/unit-policy.cpp
@@ -1,5 +1,5 @@
-// Regression tests for the targets of docs/design/0002-dispatch.md, on small simulations in virtual time, whose
-// results are the same on every computer.
+// Regression tests for the targets of docs/design/0002-dispatch.md, on small simulations in virtual time,
+// whose results are the same on every computer.
 
 #include "run_situation.hpp"
 
@@ -27,7 +27,8 @@
     simulated.queries = simulated.fan_out == 2 ? 10000 : (simulated.fan_out == 30 ? 6000 : 3500);
     const measurement ours = run(simulated, policy::flaxtiller);
     const measurement single = run(simulated, policy::single_try);
-    CAPTURE(simulated.load, simulated.fan_out, static_cast<int>(simulated.when_full), ours.p99_ms, single.p99_ms);
+    CAPTURE(simulated.load, simulated.fan_out, static_cast<int>(simulated.when_full), ours.p99_ms,
+            single.p99_ms);
     CHECK(ours.p99_ms * 3 <= single.p99_ms);
     CHECK(ours.extra_load <= 0.05);
     CHECK(ours.coverage >= 0.9999);
@@ -35,7 +36,9 @@
     CHECK((simulated.when_full == when_full::queue || ours.most_in_use <= 2));
 }
 
-TEST_CASE("with stragglers and one slow backend server the p99 is at most a third of that of a single attempt", "[policy]")
+TEST_CASE(
+    "with stragglers and one slow backend server the p99 is at most a third of that of a single attempt",
+    "[policy]")
 {
     situation simulated;
     simulated.slow_factor = 4.0;
@@ -45,7 +48,8 @@
     simulated.queries = simulated.fan_out == 2 ? 10000 : (simulated.fan_out == 30 ? 6000 : 3500);
     const measurement ours = run(simulated, policy::flaxtiller);
     const measurement single = run(simulated, policy::single_try);
-    CAPTURE(simulated.load, simulated.fan_out, static_cast<int>(simulated.when_full), ours.p99_ms, single.p99_ms);
+    CAPTURE(simulated.load, simulated.fan_out, static_cast<int>(simulated.when_full), ours.p99_ms,
+            single.p99_ms);
     CHECK(ours.p99_ms * 3 <= single.p99_ms);
     CHECK(ours.extra_load <= 0.05);
 }
--- a/tests/src/unit-scheduler-shared.cpp
+++ b/tests/src/unit-scheduler-shared.cpp
@@ -316,7 +316,8 @@
     {
         driver.submit();
     }
-    // With the budget spent, the third attempt is pipelined to 0b, which has two slots, rather than lost on 0a.
+    // With the budget spent, the third attempt is pipelined to 0b, which has two slots, rather than lost on
+    // 0a.
     CHECK(driver.running_on("0b") == (spent ? 3 : 2));
     CHECK(driver.running_on("0a") == (spent ? 0 : 1));
     while (!driver.running.empty())
--- a/tests/src/unit-scheduler.cpp
+++ b/tests/src/unit-scheduler.cpp
@@ -87,11 +87,11 @@
         {
             driver.submit(0, 1000);
         }
-        const subquery_id refused = driver.submit(0, 10);
-        REQUIRE(driver.finished.count(refused) == 1);
-        CHECK(driver.finished.at(refused).outcome == outcome::not_run);
-        CHECK(driver.finished.at(refused).reason == missing_reason::overloaded);
-        CHECK(driver.finished.at(refused).retry_after > duration::from_ms(10));
+        const subquery_id unservable = driver.submit(0, 10);
+        REQUIRE(driver.finished.count(unservable) == 1);
+        CHECK(driver.finished.at(unservable).outcome == outcome::not_run);
+        CHECK(driver.finished.at(unservable).reason == missing_reason::overloaded);
+        CHECK(driver.finished.at(unservable).retry_after > duration::from_ms(10));
     }
 
     SECTION("at the deadline a queued subquery ends as not run, and a running one is unknown and cancelled")
@@ -101,11 +101,11 @@
         {
             driver.submit(0, 1000);
         }
-        const subquery_id queued = driver.submit(0, 20);
+        const subquery_id waiting = driver.submit(0, 20);
         driver.advance_by(21);
         CHECK(driver.finished.at(first).outcome == outcome::unknown);
         CHECK(driver.finished.at(first).reason == missing_reason::late);
-        CHECK(driver.finished.at(queued).outcome == outcome::not_run);
+        CHECK(driver.finished.at(waiting).outcome == outcome::not_run);
         CHECK(driver.cancelled.size() == 1);
     }
 }
@@ -167,7 +167,7 @@
         {
             driver.submit(0, 1000);
         }
-        const subquery_id queued = driver.submit(0, 2000);
+        const subquery_id waiting = driver.submit(0, 2000);
         driver.advance_until(
             [&]
             {
@@ -179,7 +179,7 @@
         const subquery_id id = driver.running.at(late).subquery;
         driver.fail(late, attempt_status::cancelled);
         CHECK_NOTHROW(driver.attempt_of(id));
-        CHECK_THROWS(driver.attempt_of(queued));
+        CHECK_THROWS(driver.attempt_of(waiting));
     }
 
     SECTION("an answer that arrives before the confirmation of the cancel is used")
@@ -320,18 +320,18 @@
     scheduler_driver driver(make_service(1, 2));
     const auto report_leaving = [&]
     {
-        const std::string name = driver.running.begin()->second.server.str();
+        const std::string server_name = driver.running.begin()->second.server.str();
         driver.fail(driver.running.begin()->first, attempt_status::leaving);
-        return name;
+        return server_name;
     };
     driver.submit();
-    const std::string leaving = report_leaving();
+    const std::string leaving_server = report_leaving();
 
     SECTION("it gets no attempts for 20 seconds while another one serves the shard")
     {
         for (int i = 0; i < 20; ++i)
         {
-            CHECK(driver.running_on(leaving) == 0);
+            CHECK(driver.running_on(leaving_server) == 0);
             driver.answer(driver.running.begin()->first);
             driver.advance_by(1000);
             driver.submit();
@@ -459,7 +459,7 @@
     }
 }
 
-TEST_CASE("owner candidates are stable under changes of the instances", "[dispatch]")
+TEST_CASE("owners", "[dispatch]")
 {
     placement placed;
     placed.services.emplace(service_name("dispatch"), make_service(1, 2));
--- a/tests/src/unit-warmup.cpp
+++ b/tests/src/unit-warmup.cpp
@@ -42,14 +42,14 @@
     return registered;
 }
 
-/// @brief Simulates instances that send, without coordination, to three replicas of one shard, some of which return
-/// cold at the same time, as those of one availability zone do.
+/// @brief Simulates instances that send, without coordination, to three replicas of one shard, some of which
+/// return cold at the same time, as those of one availability zone do.
 class warmup_simulation
 {
   public:
     /// @param cold_replicas the number of cold replicas among the three
-    warmup_simulation(std::size_t instances, double requests_per_s, const warmup_bound& bound, int cold_replicas,
-                   std::uint32_t seed)
+    warmup_simulation(std::size_t instances, double requests_per_s, const warmup_bound& bound,
+                      int cold_replicas, std::uint32_t seed)
         : m_random(seed), m_requests_per_ms(requests_per_s / 1000.0)
     {
         placed_service placed;
@@ -75,7 +75,8 @@
             scheduler& added = m_schedulers.emplace_back(options);
             for (const backend_server_name& name : m_cold)
             {
-                added.set_warmup_limit(name, cold_until, warmup_share_of(bound, instances, rank), time_point{});
+                added.set_warmup_limit(name, cold_until, warmup_share_of(bound, instances, rank),
+                                       time_point{});
             }
             added.configure(placed, 1, time_point{});
         }
@@ -122,7 +123,8 @@
         }
     }
 
-    /// @return the maximum number of requests that a cold backend server received in any second of its warm-up
+    /// @return the maximum number of requests that a cold backend server received in any second of its
+    /// warm-up
     std::size_t max_cold_requests_in_a_second() const
     {
         std::size_t most = 0;
@@ -180,14 +182,14 @@
         for (auto actions = m_schedulers[instance].take_actions(); !actions.empty();
              actions = m_schedulers[instance].take_actions())
         {
-            for (const action& item : actions)
+            for (const action& requested : actions)
             {
-                if (const auto* start = std::get_if<start_attempt>(&item))
+                if (const auto* start = std::get_if<start_attempt>(&requested))
                 {
                     m_sent[start->server].push_back(m_now);
                     m_ends.emplace(m_now + duration::from_ms(12), std::pair(instance, start->attempt));
                 }
-                else if (const auto* done = std::get_if<finish_subquery>(&item))
+                else if (const auto* done = std::get_if<finish_subquery>(&requested))
                 {
                     answered += done->result.outcome == outcome::run ? 1 : 0;
                     const bool at_once = m_asked_at.at(done->subquery) == m_now;
@@ -210,7 +212,8 @@
 
 } // namespace
 
-TEST_CASE("the warm-up shares of several instances stay within the capacity of a cold backend server", "[warmup]")
+TEST_CASE("the warm-up shares of several instances stay within the capacity of a cold backend server",
+          "[warmup]")
 {
     SECTION("their sum stays within the bound in any second, and each share allows a whole request or none")
     {
@@ -275,11 +278,12 @@
                 std::to_string(instances))
         {
             warmup_simulation simulation(instances, 150.0, bound, 3, 8);
-            // The run exceeds the warm-up by more than the deadline, so that all admitted requests have ended.
+            // The run exceeds the warm-up by more than the deadline, so that all admitted requests have
+            // ended.
             simulation.run(duration::from_ms(3600));
             CHECK(static_cast<double>(simulation.max_cold_requests_in_a_second()) <= max_of(bound));
             INFO(simulation.answered << " answered, " << simulation.refused_at_once << " refused at once of "
-                               << simulation.asked);
+                                     << simulation.asked);
             CHECK(simulation.answered + simulation.refused_at_once >= simulation.asked * 9 / 10);
             // The more instances there are, the fewer requests reach an instance with a share.
             CHECK(simulation.answered >= (instances > 65 ? 6 : instances > 11 ? 35 : 90));
