--- a/include/flaxtiller/coordinator/service_coordinator.hpp
+++ b/include/flaxtiller/coordinator/service_coordinator.hpp
@@ -5,7 +5,7 @@
 #include <flaxtiller/dispatch/admission.hpp>
 #include <flaxtiller/dispatch/scheduler.hpp>
 #include <flaxtiller/query/query_execution.hpp>
-#include <flaxtiller/query/version_view.hpp>
+#include <flaxtiller/query/version_availability.hpp>
 
 #include <map>
 #include <set>
@@ -51,7 +51,7 @@
     std::size_t open_queries() const noexcept;
 
     const dispatch::scheduler& scheduler() const noexcept;
-    const version_view& versions() const noexcept;
+    const version_availability& versions() const noexcept;
 
     /// @return the owner to which a subquery of this shard would go now
     instance_name owner_of(int shard) const;
@@ -125,7 +125,7 @@
     const options m_options;
     dispatch::scheduler m_scheduler;
     dispatch::admission m_admission;
-    version_view m_versions;
+    version_availability m_versions;
     std::shared_ptr<const placement> m_placed;
     /// By group of shards: candidates, most preferred first.
     std::vector<std::vector<instance_name>> m_candidates;
--- a/include/flaxtiller/query/query_answer.hpp
+++ b/include/flaxtiller/query/query_answer.hpp
@@ -34,7 +34,7 @@
     bool repeated = false;
 
     /// @return whether every shard asked is covered
-    bool is_whole() const noexcept
+    bool is_complete() const noexcept
     {
         return refusal == errc::ok && missing.empty() && !covered.empty();
     }
--- a/include/flaxtiller/query/query_execution.hpp
+++ b/include/flaxtiller/query/query_execution.hpp
@@ -3,7 +3,7 @@
 #include <flaxtiller/core/time_point.hpp>
 #include <flaxtiller/query/query_answer.hpp>
 #include <flaxtiller/query/subquery_result.hpp>
-#include <flaxtiller/query/version_view.hpp>
+#include <flaxtiller/query/version_availability.hpp>
 
 #include <cstdint>
 #include <map>
@@ -36,11 +36,11 @@
     query_execution(std::vector<int> shards, std::int64_t revision, std::uint64_t first_number);
 
     /// @brief Plans the first round.
-    void start(const version_view& view);
+    void start(const version_availability& view);
 
     /// @brief A part is over.
     /// @return false if the part isn't awaited: late, crossed or doubled results are dropped
-    bool on_result(std::uint64_t number, const subquery_result& result, const version_view& view);
+    bool on_result(std::uint64_t number, const subquery_result& result, const version_availability& view);
 
     /// @brief The deadline has come: what isn't there is missing.
     void on_deadline();
@@ -55,11 +55,11 @@
     const std::optional<query_answer>& answer() const noexcept;
 
   private:
-    static constexpr int most_rounds = 4;
+    static constexpr int max_rounds = 4;
 
-    void ask(int shard);
-    void retarget(const version_view& view);
-    bool settle_versions(const version_view& view);
+    void add_part(int shard);
+    void switch_version(const version_availability& view);
+    bool unify_versions(const version_availability& view);
     void conclude();
     index_version best_covered_version() const;
 
--- a/include/flaxtiller/query/version_view.hpp
+++ b/include/flaxtiller/query/version_availability.hpp
@@ -13,11 +13,11 @@
 bool is_newer(const index_version& a, const index_version& b);
 
 /// @brief Which index versions each shard of a service can answer from, as last heard.
-class version_view
+class version_availability
 {
   public:
     /// @brief Takes in what a shard's owner says that its backend servers hold; an empty list says nothing.
-    void note(int shard, const std::vector<index_version>& held);
+    void set_versions(int shard, const std::vector<index_version>& held);
 
     /// @brief Forgets everything, as after a change of the number of shards.
     void clear();
@@ -31,7 +31,7 @@
     const std::map<int, std::set<index_version>>& shards() const noexcept;
 
   private:
-    std::map<int, std::set<index_version>> m_held;
+    std::map<int, std::set<index_version>> m_versions_by_shard;
 };
 
 } // namespace flaxtiller
--- a/src/coordinator/service_coordinator.cpp
+++ b/src/coordinator/service_coordinator.cpp
@@ -63,7 +63,7 @@
     return m_scheduler;
 }
 
-const version_view& service_coordinator::versions() const noexcept
+const version_availability& service_coordinator::versions() const noexcept
 {
     return m_versions;
 }
--- a/src/coordinator/service_coordinator_queries.cpp
+++ b/src/coordinator/service_coordinator_queries.cpp
@@ -191,7 +191,7 @@
 void service_coordinator::part_over(query_id id, std::uint64_t number, const subquery_result& result,
                                     time_point now)
 {
-    m_versions.note(result.shard, result.held_versions);
+    m_versions.set_versions(result.shard, result.held_versions);
     const auto found = m_queries.find(id);
     if (found == m_queries.end())
     {
--- a/src/entry/entry_callers.cpp
+++ b/src/entry/entry_callers.cpp
@@ -145,7 +145,7 @@
     }
     else if (told.outcome == outcome::run)
     {
-        which = told.is_whole() ? counter::answers_whole : counter::answers_partial;
+        which = told.is_complete() ? counter::answers_whole : counter::answers_partial;
     }
     counted.add(which);
 }
--- a/src/query/query_answer.cpp
+++ b/src/query/query_answer.cpp
@@ -31,7 +31,7 @@
 
 void to_json(nlohmann::json& j, const query_answer& value)
 {
-    j = {{"outcome", value.outcome}, {"complete", value.is_whole()}, {"revision", value.revision}};
+    j = {{"outcome", value.outcome}, {"complete", value.is_complete()}, {"revision", value.revision}};
     if (!value.version.empty())
     {
         j["index_version"] = value.version;
--- a/src/query/query_execution.cpp
+++ b/src/query/query_execution.cpp
@@ -11,13 +11,13 @@
 {
 }
 
-void query_execution::start(const version_view& view)
+void query_execution::start(const version_availability& view)
 {
     m_version = view.choose(m_shards, m_excluded);
     m_round = 1;
     for (const int shard : m_shards)
     {
-        ask(shard);
+        add_part(shard);
     }
     if (m_awaited.empty())
     {
@@ -25,14 +25,15 @@
     }
 }
 
-void query_execution::ask(int shard)
+void query_execution::add_part(int shard)
 {
     const std::uint64_t number = m_next_number++;
     m_awaited.emplace(number, shard);
     m_parts.push_back({number, shard, m_version});
 }
 
-bool query_execution::on_result(std::uint64_t number, const subquery_result& result, const version_view& view)
+bool query_execution::on_result(std::uint64_t number, const subquery_result& result,
+                                const version_availability& view)
 {
     const auto awaited = m_awaited.find(number);
     if (awaited == m_awaited.end() || awaited->second != result.shard || m_answer)
@@ -55,21 +56,21 @@
         result.outcome == outcome::not_run && result.reason == missing_reason::wrong_version;
     if (version_gone && !m_version.empty())
     {
-        retarget(view);
+        switch_version(view);
     }
-    if (m_awaited.empty() && !settle_versions(view))
+    if (m_awaited.empty() && !unify_versions(view))
     {
         conclude();
     }
     return true;
 }
 
-void query_execution::retarget(const version_view& view)
+void query_execution::switch_version(const version_availability& view)
 {
     std::set<index_version> excluded = m_excluded;
     excluded.insert(m_version);
     const index_version next = view.choose(m_shards, excluded);
-    if (next.empty() || m_round >= most_rounds)
+    if (next.empty() || m_round >= max_rounds)
     {
         return;
     }
@@ -85,15 +86,15 @@
     {
         if (m_answers[m_version].count(shard) == 0)
         {
-            ask(shard);
+            add_part(shard);
         }
     }
 }
 
-bool query_execution::settle_versions(const version_view& view)
+bool query_execution::unify_versions(const version_availability& view)
 {
     const bool mixed = m_version.empty() && m_answers.size() > 1;
-    if (!mixed || m_round >= most_rounds)
+    if (!mixed || m_round >= max_rounds)
     {
         return false;
     }
@@ -102,10 +103,10 @@
     ++m_round;
     for (const int shard : m_shards)
     {
-        const bool failed_otherwise = m_failures.count(shard) > 0;
-        if (m_answers[m_version].count(shard) == 0 && !failed_otherwise)
+        const bool failed_for_other_reason = m_failures.count(shard) > 0;
+        if (m_answers[m_version].count(shard) == 0 && !failed_for_other_reason)
         {
-            ask(shard);
+            add_part(shard);
         }
     }
     return !m_awaited.empty();
@@ -137,9 +138,9 @@
 
 void query_execution::conclude()
 {
-    query_answer told;
-    told.revision = m_revision;
-    told.version = best_covered_version();
+    query_answer final_answer;
+    final_answer.revision = m_revision;
+    final_answer.version = best_covered_version();
     std::set<int> awaited;
     for (const auto& [number, shard] : m_awaited)
     {
@@ -147,36 +148,36 @@
         m_abandoned.push_back(number);
     }
     m_awaited.clear();
-    bool maybe_run = false;
-    const auto answers = m_answers.find(told.version);
+    bool possibly_run = false;
+    const auto answers = m_answers.find(final_answer.version);
     for (const int shard : m_shards)
     {
         if (answers != m_answers.end() && answers->second.count(shard) > 0)
         {
-            told.covered[shard] = answers->second.at(shard).body;
+            final_answer.covered[shard] = answers->second.at(shard).body;
             continue;
         }
         const auto failure = m_failures.find(shard);
         const bool failed = failure != m_failures.end() && awaited.count(shard) == 0;
-        const bool answered_otherwise = !failed && awaited.count(shard) == 0;
-        told.missing[shard] = failed               ? failure->second.reason
-                              : answered_otherwise ? missing_reason::wrong_version
-                                                   : missing_reason::late;
-        maybe_run = maybe_run || !failed || failure->second.outcome != outcome::not_run;
+        const bool answered_at_other_version = !failed && awaited.count(shard) == 0;
+        final_answer.missing[shard] = failed                      ? failure->second.reason
+                                      : answered_at_other_version ? missing_reason::wrong_version
+                                                                  : missing_reason::late;
+        possibly_run = possibly_run || !failed || failure->second.outcome != outcome::not_run;
         if (failed)
         {
-            told.retry_after = std::max(told.retry_after, failure->second.retry_after);
+            final_answer.retry_after = std::max(final_answer.retry_after, failure->second.retry_after);
         }
     }
-    if (!told.covered.empty())
+    if (!final_answer.covered.empty())
     {
-        told.outcome = outcome::run;
+        final_answer.outcome = outcome::run;
     }
     else
     {
-        told.outcome = maybe_run ? outcome::unknown : outcome::not_run;
+        final_answer.outcome = possibly_run ? outcome::unknown : outcome::not_run;
     }
-    m_answer = std::move(told);
+    m_answer = std::move(final_answer);
 }
 
 std::vector<query_execution::part> query_execution::take_parts()
--- a/src/query/query_request.cpp
+++ b/src/query/query_request.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-constexpr double most_deadline_ms = 600000.0;
-constexpr std::size_t most_key_bytes = 256;
+constexpr double max_deadline_ms = 600000.0;
+constexpr std::size_t max_key_bytes = 256;
 
 void read_shards(json_reader& reader, std::vector<int>& into)
 {
@@ -44,7 +44,7 @@
     {
         return;
     }
-    if (request.key.empty() || request.key.str().size() > most_key_bytes)
+    if (request.key.empty() || request.key.str().size() > max_key_bytes)
     {
         reader.found().error(errc::missing_key, reader.at("key"),
                              "a request that may not be repeated needs a key of 1 to 256 bytes");
@@ -65,12 +65,12 @@
 
 std::uint64_t query_request::digest() const
 {
-    std::string what = service.str() + '\0' + body + '\0' + std::to_string(key_time_ms);
+    std::string hashed_text = service.str() + '\0' + body + '\0' + std::to_string(key_time_ms);
     for (const int shard : shards)
     {
-        what += '\0' + std::to_string(shard);
+        hashed_text += '\0' + std::to_string(shard);
     }
-    return hash64(what);
+    return hash64(hashed_text);
 }
 
 void to_json(nlohmann::json& j, const query_request& value)
@@ -104,7 +104,7 @@
     {
         request.body = body->is_string() ? body->get<std::string>() : body->dump();
     }
-    reader.number("deadline_ms", deadline_ms, 1.0, most_deadline_ms);
+    reader.number("deadline_ms", deadline_ms, 1.0, max_deadline_ms);
     reader.flag("repeatable", request.repeatable);
     reader.text("key", key);
     reader.number("key_time_ms", request.key_time_ms, std::int64_t{0}, std::int64_t{1} << 52);
--- a/src/query/version_view.cpp
+++ b/src/query/version_availability.cpp
@@ -1,4 +1,4 @@
-#include <flaxtiller/query/version_view.hpp>
+#include <flaxtiller/query/version_availability.hpp>
 
 namespace flaxtiller
 {
@@ -12,27 +12,27 @@
     return a.str() > b.str();
 }
 
-void version_view::note(int shard, const std::vector<index_version>& held)
+void version_availability::set_versions(int shard, const std::vector<index_version>& held)
 {
     if (!held.empty())
     {
-        m_held[shard] = {held.begin(), held.end()};
+        m_versions_by_shard[shard] = {held.begin(), held.end()};
     }
 }
 
-void version_view::clear()
+void version_availability::clear()
 {
-    m_held.clear();
+    m_versions_by_shard.clear();
 }
 
-index_version version_view::choose(const std::vector<int>& shards,
-                                   const std::set<index_version>& excluded) const
+index_version version_availability::choose(const std::vector<int>& shards,
+                                           const std::set<index_version>& excluded) const
 {
     std::map<index_version, std::size_t> holders;
     for (const int shard : shards)
     {
-        const auto found = m_held.find(shard);
-        if (found == m_held.end())
+        const auto found = m_versions_by_shard.find(shard);
+        if (found == m_versions_by_shard.end())
         {
             continue;
         }
@@ -55,9 +55,9 @@
     return best;
 }
 
-const std::map<int, std::set<index_version>>& version_view::shards() const noexcept
+const std::map<int, std::set<index_version>>& version_availability::shards() const noexcept
 {
-    return m_held;
+    return m_versions_by_shard;
 }
 
 } // namespace flaxtiller
--- a/tests/src/unit-coordinator.cpp
+++ b/tests/src/unit-coordinator.cpp
@@ -126,7 +126,7 @@
     owner.answer_attempts();
     const auto told = owner.take<answer_caller>();
     REQUIRE(told.size() == 1);
-    CHECK(told[0].answer.is_whole());
+    CHECK(told[0].answer.is_complete());
     CHECK(owner.coordinator.open_queries() == 0);
 }
 
@@ -151,7 +151,7 @@
         }
         const auto told = other.take<answer_caller>();
         REQUIRE(told.size() == 1);
-        CHECK(told[0].answer.is_whole());
+        CHECK(told[0].answer.is_complete());
     }
 
     SECTION("an owner that can't be reached is replaced, and its late results are dropped")
--- a/tests/src/unit-query.cpp
+++ b/tests/src/unit-query.cpp
@@ -37,14 +37,14 @@
 
 TEST_CASE("one query", "[query]")
 {
-    version_view view;
+    version_availability view;
     query_execution query({0, 1, 2}, 7, 100);
 
     SECTION("is whole when all shards answered at one version")
     {
         for (int shard = 0; shard < 3; ++shard)
         {
-            view.note(shard, {v1});
+            view.set_versions(shard, {v1});
         }
         query.start(view);
         const auto parts = query.take_parts();
@@ -55,7 +55,7 @@
             CHECK(query.on_result(part.number, answered(part.shard, v1), view));
         }
         REQUIRE(query.answer());
-        CHECK(query.answer()->is_whole());
+        CHECK(query.answer()->is_complete());
         CHECK(query.answer()->version == v1);
         CHECK(query.answer()->revision == 7);
     }
@@ -65,9 +65,9 @@
         query.start(view);
         const auto parts = query.take_parts();
         CHECK(parts[0].version.empty());
-        view.note(0, {v1, v2});
-        view.note(1, {v1});
-        view.note(2, {v1});
+        view.set_versions(0, {v1, v2});
+        view.set_versions(1, {v1});
+        view.set_versions(2, {v1});
         (void)query.on_result(parts[0].number, answered(0, v2), view);
         (void)query.on_result(parts[1].number, answered(1, v1), view);
         (void)query.on_result(parts[2].number, answered(2, v1), view);
@@ -78,7 +78,7 @@
         CHECK(again[0].version == v1);
         (void)query.on_result(again[0].number, answered(0, v1, "at 1"), view);
         REQUIRE(query.answer());
-        CHECK(query.answer()->is_whole());
+        CHECK(query.answer()->is_complete());
         CHECK(*query.answer()->covered.at(0) == "at 1");
     }
 
@@ -86,14 +86,14 @@
     {
         for (int shard = 0; shard < 3; ++shard)
         {
-            view.note(shard, {v1});
+            view.set_versions(shard, {v1});
         }
         query.start(view);
         const auto parts = query.take_parts();
         (void)query.on_result(parts[0].number, answered(0, v1), view);
         for (int shard = 0; shard < 3; ++shard)
         {
-            view.note(shard, {v2});
+            view.set_versions(shard, {v2});
         }
         (void)query.on_result(parts[1].number, missing(1, missing_reason::wrong_version), view);
         const auto again = query.take_parts();
@@ -105,15 +105,15 @@
         {
             (void)query.on_result(part.number, answered(part.shard, v2), view);
         }
-        CHECK(query.answer()->is_whole());
+        CHECK(query.answer()->is_complete());
         CHECK(query.answer()->version == v2);
     }
 
     SECTION("answers in part, truthfully, if no version is whole")
     {
-        view.note(0, {v1});
-        view.note(1, {v1});
-        view.note(2, {v2});
+        view.set_versions(0, {v1});
+        view.set_versions(1, {v1});
+        view.set_versions(2, {v2});
         query.start(view);
         for (const auto& part : query.take_parts())
         {
