--- a/include/flaxtiller/query/missing_reason.hpp
+++ b/include/flaxtiller/query/missing_reason.hpp
@@ -5,27 +5,28 @@
 namespace flaxtiller
 {
 
-/// @brief Why an answer doesn't cover a shard.
+/// @brief The reason for which an answer does not cover a shard.
 enum class missing_reason
 {
     none,
-    /// No placement rule gives the shard a backend server, or all that hold it are leaving or out of service.
+    /// No placement rule assigns a backend server to the shard, or all its backend servers are leaving or out
+    /// of service.
     no_backend_server,
-    /// The backend servers refused the work.
+    /// The backend servers refused the subquery because of their load.
     shed,
-    /// No answer within the deadline.
+    /// No answer arrived before the deadline.
     late,
-    /// No backend server holds the shard in the answer's index version.
+    /// No backend server holds the shard in the index version of the answer.
     wrong_version,
-    /// The connection broke before the answer was whole.
+    /// The connection to the backend server broke before the answer was complete.
     cut,
-    /// The tier itself refused the work: its queue is longer than the deadline.
+    /// The query tier refused the subquery because the expected time in its queue exceeds the deadline.
     overloaded,
-    /// The instance that owns the shard's backend servers can't be reached.
+    /// The instance that owns the shard's backend servers is unreachable.
     owner_unreachable,
-    /// Backend servers hold the shard, but none in a region where the request may be run.
+    /// Backend servers hold the shard, but none of them is in a region in which the request may be run.
     no_allowed_region,
-    /// The request crashes the backend servers that run it, and is sent to none for now.
+    /// The request is suspected to crash backend servers and is therefore not sent to any at present.
     quarantined,
 };
 
--- a/include/flaxtiller/query/outcome.hpp
+++ b/include/flaxtiller/query/outcome.hpp
@@ -5,14 +5,14 @@
 namespace flaxtiller
 {
 
-/// @brief What is known of whether a request, or a part of it, was run.
+/// @brief Whether a request, or a part of it, was run by a backend server.
 enum class outcome
 {
-    /// Proved: no backend server began it.
+    /// It is certain that no backend server began to run the request.
     not_run,
-    /// It may have been begun, and no answer came.
+    /// A backend server may have begun to run the request, but no answer arrived.
     unknown,
-    /// It was run and answered.
+    /// The request was run and answered.
     run,
 };
 
--- a/include/flaxtiller/query/query_answer.hpp
+++ b/include/flaxtiller/query/query_answer.hpp
@@ -16,24 +16,27 @@
 namespace flaxtiller
 {
 
-/// @brief What a caller is told. All covered shards answered from one index version.
+/// @brief The answer to a query, as returned to its caller. The answers of all covered shards were computed
+/// from the same index version.
 struct query_answer
 {
     enum outcome outcome = outcome::not_run;
     index_version version;
-    /// The revision of the configuration by which the query was planned.
+    /// The configuration revision with which the query was planned.
     std::int64_t revision = 0;
-    /// Shard to the backend server's answer.
+    /// The backend servers' answers, by shard.
     std::map<int, std::shared_ptr<const std::string>> covered;
+    /// The shards without an answer, with the reasons.
     std::map<int, missing_reason> missing;
-    /// When to come back; zero where the answer is whole or nothing is known.
+    /// The time after which the caller should retry; zero for a complete answer or if no time is known.
     duration retry_after{};
-    /// Set if the query was refused as a whole.
+    /// The error for which the whole query was refused; errc::ok if it was not refused.
     errc refusal = errc::ok;
-    /// Read from the register: the request had been run before.
+    /// Whether the answer is the recorded one of an earlier request with the same key, so that the request
+    /// was not run again.
     bool repeated = false;
 
-    /// @return whether every shard asked is covered
+    /// @return whether the answer covers all shards of the query
     bool is_complete() const noexcept
     {
         return refusal == errc::ok && missing.empty() && !covered.empty();
--- a/include/flaxtiller/query/query_execution.hpp
+++ b/include/flaxtiller/query/query_execution.hpp
@@ -14,14 +14,18 @@
 namespace flaxtiller
 {
 
-/// @brief Carries one query from its plan to its answer. Deterministic.
+/// @brief Executes one query: divides it into parts, one for each shard, and combines the results to an
+/// answer.
 ///
-/// The query is pinned to one index version. If that can't be had on a shard any more, the shards that have
-/// no answer at another version, whole as far as known, are asked again; an answer never mixes versions.
+/// All parts of an answer have the same index version. The query is started at the version held by most
+/// shards. If a shard no longer holds this version, the query switches to another version, and parts are sent
+/// again to the shards without an answer at the new version. The class is a deterministic state machine
+/// without I/O.
 class query_execution
 {
   public:
-    /// @brief A shard to ask, at a version; @ref number tells its result from those of earlier rounds.
+    /// @brief A request to one shard at one index version. The number distinguishes its result from those of
+    /// earlier requests to the same shard.
     struct part
     {
         std::uint64_t number = 0;
@@ -31,27 +35,30 @@
         bool operator==(const part&) const = default;
     };
 
-    /// @param shards the shards to ask
-    /// @param first_number numbers from here on belong to this query
+    /// @param shards the shards to query
+    /// @param revision the configuration revision with which the query is planned
+    /// @param first_number the number of the first part; later parts have the following numbers
     query_execution(std::vector<int> shards, std::int64_t revision, std::uint64_t first_number);
 
-    /// @brief Plans the first round.
+    /// @brief Creates the parts of the first round.
+    /// @param view the index versions that the shards hold
     void start(const version_availability& view);
 
-    /// @brief A part is over.
-    /// @return false if the part isn't awaited: late, crossed or doubled results are dropped
+    /// @brief Processes the result of a part.
+    /// @return false if no result of the part is expected, so that a late, duplicate or mismatched result is
+    /// ignored
     bool on_result(std::uint64_t number, const subquery_result& result, const version_availability& view);
 
-    /// @brief The deadline has come: what isn't there is missing.
+    /// @brief Completes the answer at the deadline; the shards without a result are missing.
     void on_deadline();
 
-    /// @return parts to send now
+    /// @brief Returns and removes the parts to send.
     std::vector<part> take_parts();
 
-    /// @return numbers of parts that nobody waits for any more
+    /// @brief Returns and removes the numbers of the parts whose results are no longer needed.
     std::vector<std::uint64_t> take_abandoned();
 
-    /// @return the answer, once it is settled
+    /// @return the answer, or an empty optional while parts are outstanding
     const std::optional<query_answer>& answer() const noexcept;
 
   private:
@@ -70,9 +77,9 @@
     index_version m_version;
     std::set<index_version> m_excluded;
     std::map<std::uint64_t, int> m_awaited;
-    /// Answers by version, then by shard.
+    /// The answers, by version and by shard.
     std::map<index_version, std::map<int, subquery_result>> m_answers;
-    /// The last failure of each shard.
+    /// The last failure of each shard, by shard.
     std::map<int, subquery_result> m_failures;
     std::vector<part> m_parts;
     std::vector<std::uint64_t> m_abandoned;
--- a/include/flaxtiller/query/query_request.hpp
+++ b/include/flaxtiller/query/query_request.hpp
@@ -13,30 +13,35 @@
 namespace flaxtiller
 {
 
-/// @brief What a caller asks.
+/// @brief A query as received from a caller.
 struct query_request
 {
     service_name service;
-    /// The shards to ask; empty for all.
+    /// The shards to query; empty for all shards of the service.
     std::vector<int> shards;
-    /// Handed to the backend servers as it is.
+    /// The request body, passed to the backend servers unchanged.
     std::string body;
     duration deadline = duration::from_ms(1000);
-    /// Whether it may be run more than once. If not, it needs a key and names exactly one shard.
+    /// Whether the request may be run more than once. A request that must not be repeated needs a key and
+    /// exactly one shard.
     bool repeatable = true;
     request_key key;
-    /// When the caller made the key, in milliseconds of Unix time; the same whenever the key is sent again.
+    /// The time at which the caller created the key, in milliseconds of Unix time. It must be the same for
+    /// each request with this key.
     std::int64_t key_time_ms = 0;
 
     bool operator==(const query_request&) const = default;
 
-    /// @return a hash of what is asked; the same key with another digest is another request
+    /// @return a hash of the service, shards, body and key time. Two requests with the same key but different
+    /// digests are different requests.
     std::uint64_t digest() const;
 };
 
 void to_json(nlohmann::json& j, const query_request& value);
 
-/// @brief Reads a request; every fault is reported with its place.
+/// @brief Parses a request.
+/// @param document the JSON document
+/// @param found receives a finding, with its place in the document, for each error
 query_request parse_query_request(const nlohmann::json& document, findings& found);
 
 } // namespace flaxtiller
--- a/include/flaxtiller/query/subquery_result.hpp
+++ b/include/flaxtiller/query/subquery_result.hpp
@@ -12,21 +12,22 @@
 namespace flaxtiller
 {
 
-/// @brief What became of one shard's part of a query.
+/// @brief The result of a subquery, the part of a query that concerns one shard.
 struct subquery_result
 {
     int shard = 0;
     enum outcome outcome = outcome::not_run;
     missing_reason reason = missing_reason::none;
-    /// The version that the answer was made from.
+    /// The index version from which the answer was computed.
     index_version version;
-    /// The versions that the shard's backend servers are known to hold.
+    /// The index versions that the shard's backend servers reported to hold.
     std::vector<index_version> held_versions;
-    /// The backend server's answer, if it was run.
+    /// The backend server's answer, for outcome::run.
     std::shared_ptr<const std::string> body;
-    /// How long to wait before asking again makes sense; zero where nothing is known.
+    /// The time after which a retry is useful; zero if no time is known.
     duration retry_after{};
-    /// How long a new subquery of this shard would wait now, as its owner sees it.
+    /// The time that a new subquery of this shard is expected to wait for a slot, as estimated by the
+    /// instance that owns the shard.
     duration estimated_wait{};
 
     bool operator==(const subquery_result&) const = default;
--- a/include/flaxtiller/query/version_availability.hpp
+++ b/include/flaxtiller/query/version_availability.hpp
@@ -9,25 +9,31 @@
 namespace flaxtiller
 {
 
-/// @brief Orders index versions: a longer number is newer, else by text; `9` before `10`, `v1` before `v2`.
+/// @return whether the index version @a a is newer than @a b
+///
+/// The longer text is newer, and of two texts of the same length the lexicographically greater one, so that
+/// `10` is newer than `9`, and `v2` newer than `v1`.
 bool is_newer(const index_version& a, const index_version& b);
 
-/// @brief Which index versions each shard of a service can answer from, as last heard.
+/// @brief The index versions that the backend servers of each shard of a service hold, as last reported.
 class version_availability
 {
   public:
-    /// @brief Takes in what a shard's owner says that its backend servers hold; an empty list says nothing.
+    /// @brief Sets the versions that the owner of a shard reported. An empty list carries no information and
+    /// is ignored.
     void set_versions(int shard, const std::vector<index_version>& held);
 
-    /// @brief Forgets everything, as after a change of the number of shards.
+    /// @brief Removes all versions. Needed when the number of shards changes.
     void clear();
 
-    /// @brief Chooses the version to pin a query to: held by most of @a shards, then the newest.
-    /// @param excluded versions that already failed
-    /// @return the version, or an empty one where nothing is known
+    /// @brief Chooses the index version for a query.
+    /// @param shards the shards of the query
+    /// @param excluded the versions that the query has already found to be unavailable
+    /// @return the version held by most of the shards, and the newest of several such versions; an empty
+    /// version if none is known
     index_version choose(const std::vector<int>& shards, const std::set<index_version>& excluded) const;
 
-    /// @return shard to versions
+    /// @return the versions, by shard
     const std::map<int, std::set<index_version>>& shards() const noexcept;
 
   private:
--- a/src/query/query_execution.cpp
+++ b/src/query/query_execution.cpp
@@ -41,7 +41,7 @@
         return false;
     }
     m_awaited.erase(awaited);
-    // An answer without a version can't be shown to belong to the snapshot.
+    // Without a version, the answer may belong to a different index version than the other answers.
     const bool usable = result.outcome == outcome::run && !result.version.empty();
     if (usable)
     {
@@ -98,7 +98,7 @@
     {
         return false;
     }
-    // The first round went out without a version; now it is known what there is.
+    // The first round was sent without a version, as none was known; the answers have reported the versions.
     m_version = view.choose(m_shards, m_excluded);
     ++m_round;
     for (const int shard : m_shards)
--- a/tests/src/unit-query.cpp
+++ b/tests/src/unit-query.cpp
@@ -24,23 +24,23 @@
     return result;
 }
 
-subquery_result missing(int shard, missing_reason reason, outcome what = outcome::not_run)
+subquery_result missing(int shard, missing_reason reason, outcome reported = outcome::not_run)
 {
     subquery_result result;
     result.shard = shard;
-    result.outcome = what;
+    result.outcome = reported;
     result.reason = reason;
     return result;
 }
 
 } // namespace
 
-TEST_CASE("one query", "[query]")
+TEST_CASE("the execution of a query", "[query]")
 {
     version_availability view;
     query_execution query({0, 1, 2}, 7, 100);
 
-    SECTION("is whole when all shards answered at one version")
+    SECTION("gives a complete answer when all shards answered at one version")
     {
         for (int shard = 0; shard < 3; ++shard)
         {
@@ -60,7 +60,7 @@
         CHECK(query.answer()->revision == 7);
     }
 
-    SECTION("while nothing is known asks without a version, and asks again where the answers differ")
+    SECTION("starts without a version if none is known, and repeats parts whose versions differ")
     {
         query.start(view);
         const auto parts = query.take_parts();
@@ -72,17 +72,17 @@
         (void)query.on_result(parts[1].number, answered(1, v1), view);
         (void)query.on_result(parts[2].number, answered(2, v1), view);
         REQUIRE_FALSE(query.answer());
-        const auto again = query.take_parts();
-        REQUIRE(again.size() == 1);
-        CHECK(again[0].shard == 0);
-        CHECK(again[0].version == v1);
-        (void)query.on_result(again[0].number, answered(0, v1, "at 1"), view);
+        const auto repeated = query.take_parts();
+        REQUIRE(repeated.size() == 1);
+        CHECK(repeated[0].shard == 0);
+        CHECK(repeated[0].version == v1);
+        (void)query.on_result(repeated[0].number, answered(0, v1, "at 1"), view);
         REQUIRE(query.answer());
         CHECK(query.answer()->is_complete());
         CHECK(*query.answer()->covered.at(0) == "at 1");
     }
 
-    SECTION("whose version vanishes midway is run again at one that is whole")
+    SECTION("restarts at another version if its version becomes unavailable")
     {
         for (int shard = 0; shard < 3; ++shard)
         {
@@ -96,12 +96,12 @@
             view.set_versions(shard, {v2});
         }
         (void)query.on_result(parts[1].number, missing(1, missing_reason::wrong_version), view);
-        const auto again = query.take_parts();
-        REQUIRE(again.size() == 3);
+        const auto repeated = query.take_parts();
+        REQUIRE(repeated.size() == 3);
         CHECK(query.take_abandoned() == std::vector<std::uint64_t>{parts[2].number});
-        // The first round's answer, which comes late, is dropped.
+        // A late result of the first round is ignored.
         CHECK_FALSE(query.on_result(parts[2].number, answered(2, v1), view));
-        for (const auto& part : again)
+        for (const auto& part : repeated)
         {
             (void)query.on_result(part.number, answered(part.shard, v2), view);
         }
@@ -109,7 +109,7 @@
         CHECK(query.answer()->version == v2);
     }
 
-    SECTION("answers in part, truthfully, if no version is whole")
+    SECTION("gives a partial answer if no version is available on all shards")
     {
         view.set_versions(0, {v1});
         view.set_versions(1, {v1});
@@ -122,9 +122,9 @@
                 part.number,
                 part.shard == 2 ? missing(2, missing_reason::wrong_version) : answered(part.shard, v1), view);
         }
-        for (auto again = query.take_parts(); !again.empty(); again = query.take_parts())
+        for (auto repeated = query.take_parts(); !repeated.empty(); repeated = query.take_parts())
         {
-            for (const auto& part : again)
+            for (const auto& part : repeated)
             {
                 (void)query.on_result(part.number,
                                       part.shard == 2 ? answered(2, v2)
@@ -138,7 +138,7 @@
         CHECK(query.answer()->missing == std::map<int, missing_reason>{{2, missing_reason::wrong_version}});
     }
 
-    SECTION("names each missing shard with its reason, and the deadline's as late")
+    SECTION("gives a reason for each missing shard, which is late at the deadline")
     {
         query.start(view);
         const auto parts = query.take_parts();
@@ -151,7 +151,7 @@
               std::map<int, missing_reason>{{1, missing_reason::shed}, {2, missing_reason::late}});
     }
 
-    SECTION("drops doubled, foreign and late results")
+    SECTION("ignores duplicate, mismatched and late results")
     {
         query.start(view);
         const auto parts = query.take_parts();
@@ -164,7 +164,7 @@
         CHECK(*query.answer()->covered.at(0) == "first");
     }
 
-    SECTION("doesn't count an answer that names no version")
+    SECTION("ignores an answer without a version")
     {
         query.start(view);
         for (const auto& part : query.take_parts())
@@ -175,7 +175,7 @@
         CHECK(query.answer()->covered.size() == 2);
     }
 
-    SECTION("was not run only if that is proved of every shard")
+    SECTION("has the outcome not run only if no part can have been run")
     {
         const outcome last = GENERATE(outcome::not_run, outcome::unknown);
         query.start(view);
@@ -189,11 +189,11 @@
     }
 }
 
-TEST_CASE("callers' requests", "[query]")
+TEST_CASE("requests are parsed and checked", "[query]")
 {
     findings found;
 
-    SECTION("a sound one")
+    SECTION("a valid request is accepted")
     {
         const auto request = parse_query_request(
             {{"service", "dispatch"}, {"shards", {2, 0, 2}}, {"body", "x"}, {"deadline_ms", 180}}, found);
@@ -201,12 +201,12 @@
         CHECK(request.shards == std::vector<int>{0, 2});
         CHECK(request.deadline == duration::from_ms(180));
     }
-    SECTION("one that may not be repeated needs a key, its time, and one shard")
+    SECTION("a request that must not be repeated needs a key, a key time and one shard")
     {
         (void)parse_query_request({{"service", "dispatch"}, {"repeatable", false}}, found);
         CHECK(found.items().size() == 3);
     }
-    SECTION("all faults are reported at once")
+    SECTION("all errors are reported together")
     {
         (void)parse_query_request({{"shards", {-1}}, {"deadline_ms", 0}, {"body", 1}, {"unknown", 1}}, found);
         CHECK(found.items().size() == 4);
