--- a/include/flaxtiller/dispatch/scheduler_options.hpp
+++ b/include/flaxtiller/dispatch/scheduler_options.hpp
@@ -9,13 +9,13 @@
 /// defaults.
 struct scheduler_options
 {
-    /// An attempt is overdue only after this share of earlier attempts had ended, ...
+    /// The share of attempts that end earlier than an attempt that counts as overdue.
     double overdue_quantile = 0.965;
-    /// ... and once its expected remaining time is at least this multiple of the expected latency of a new
+    /// The least ratio of the expected remaining time of an overdue attempt to the expected latency of a new
     /// attempt.
     double overdue_gain = 1.5;
-    /// Of every this many overdue attempts that were overtaken by a hedge, one is not cancelled, so that the
-    /// latencies of overdue attempts stay known.
+    /// One in this number of overdue attempts that were overtaken by a hedge is not cancelled, so that the
+    /// latencies of overdue attempts remain known.
     int loser_sampling_interval = 16;
     /// The number of extra attempts, beyond the first of each subquery, as a share of the finished
     /// subqueries.
--- a/src/dispatch/owner_choice.cpp
+++ b/src/dispatch/owner_choice.cpp
@@ -51,8 +51,8 @@
     {
         if (!item.leaving)
         {
-            const std::string what = service.str() + '/' + std::to_string(group) + '/' + name.str();
-            ranked.emplace_back(hash64(what), name);
+            const std::string hashed_name = service.str() + '/' + std::to_string(group) + '/' + name.str();
+            ranked.emplace_back(hash64(hashed_name), name);
         }
     }
     std::sort(ranked.begin(), ranked.end(), std::greater<>());
--- a/src/distribution/subscriber.cpp
+++ b/src/distribution/subscriber.cpp
@@ -17,9 +17,10 @@
     findings found;
     configuration next = update.base == 0 ? parse_configuration(update.body, found)
                                           : apply_patch(*m_current, update.body, found);
-    const bool whole = update.base == 0;
+    const bool is_full_document = update.base == 0;
     if (found.has_errors() ||
-        update.digest != (whole ? next.digest() : digest_after(*m_current, m_digest, next, update.body)))
+        update.digest !=
+            (is_full_document ? next.digest() : digest_after(*m_current, m_digest, next, update.body)))
     {
         m_needs_whole = true;
         return false;
--- a/src/query/query_request.cpp
+++ b/src/query/query_request.cpp
@@ -57,7 +57,7 @@
     if (request.shards.size() != 1)
     {
         reader.found().error(errc::out_of_range, reader.at("shards"),
-                             "a request that must not be repeated must name exactly one shard");
+                             "a request that must not be repeated names exactly one shard");
     }
 }
 
--- a/tests/src/unit-policy.cpp
+++ b/tests/src/unit-policy.cpp
@@ -25,15 +25,15 @@
     simulated.when_full = GENERATE(when_full::queue, when_full::shed);
     simulated.fan_out = GENERATE(2, 30, 100);
     simulated.queries = simulated.fan_out == 2 ? 10000 : (simulated.fan_out == 30 ? 6000 : 3500);
-    const measurement ours = run(simulated, policy::flaxtiller);
+    const measurement measured = run(simulated, policy::flaxtiller);
     const measurement single = run(simulated, policy::single_try);
-    CAPTURE(simulated.load, simulated.fan_out, static_cast<int>(simulated.when_full), ours.p99_ms,
+    CAPTURE(simulated.load, simulated.fan_out, static_cast<int>(simulated.when_full), measured.p99_ms,
             single.p99_ms);
-    CHECK(ours.p99_ms * 3 <= single.p99_ms);
-    CHECK(ours.extra_load <= 0.05);
-    CHECK(ours.coverage >= 0.9999);
-    CHECK(ours.most_in_use <= 3);
-    CHECK((simulated.when_full == when_full::queue || ours.most_in_use <= 2));
+    CHECK(measured.p99_ms * 3 <= single.p99_ms);
+    CHECK(measured.extra_load <= 0.05);
+    CHECK(measured.coverage >= 0.9999);
+    CHECK(measured.most_in_use <= 3);
+    CHECK((simulated.when_full == when_full::queue || measured.most_in_use <= 2));
 }
 
 TEST_CASE(
@@ -46,12 +46,12 @@
     simulated.when_full = GENERATE(when_full::queue, when_full::shed);
     simulated.fan_out = GENERATE(2, 30, 100);
     simulated.queries = simulated.fan_out == 2 ? 10000 : (simulated.fan_out == 30 ? 6000 : 3500);
-    const measurement ours = run(simulated, policy::flaxtiller);
+    const measurement measured = run(simulated, policy::flaxtiller);
     const measurement single = run(simulated, policy::single_try);
-    CAPTURE(simulated.load, simulated.fan_out, static_cast<int>(simulated.when_full), ours.p99_ms,
+    CAPTURE(simulated.load, simulated.fan_out, static_cast<int>(simulated.when_full), measured.p99_ms,
             single.p99_ms);
-    CHECK(ours.p99_ms * 3 <= single.p99_ms);
-    CHECK(ours.extra_load <= 0.05);
+    CHECK(measured.p99_ms * 3 <= single.p99_ms);
+    CHECK(measured.extra_load <= 0.05);
 }
 
 TEST_CASE("without faults almost no attempt is hedged, and the p99 is at most 3% longer", "[policy]")
@@ -61,11 +61,11 @@
     simulated.load = GENERATE(0.3, 0.5, 0.7);
     simulated.fan_out = GENERATE(2, 30, 100);
     simulated.queries = simulated.fan_out == 2 ? 20000 : 6000;
-    const measurement ours = run(simulated, policy::flaxtiller);
+    const measurement measured = run(simulated, policy::flaxtiller);
     const measurement single = run(simulated, policy::single_try);
-    CAPTURE(simulated.load, simulated.fan_out, ours.p99_ms, single.p99_ms);
-    CHECK(ours.p99_ms <= single.p99_ms * 1.03);
-    CHECK(ours.extra_load <= 0.001);
+    CAPTURE(simulated.load, simulated.fan_out, measured.p99_ms, single.p99_ms);
+    CHECK(measured.p99_ms <= single.p99_ms * 1.03);
+    CHECK(measured.extra_load <= 0.001);
 }
 
 TEST_CASE("at low load the p99 is at most 1.5 times that of sending to all replicas at once", "[policy]")
@@ -89,12 +89,12 @@
     simulated.when_full = GENERATE(when_full::queue, when_full::shed);
     simulated.fan_out = 30;
     simulated.queries = 3000;
-    const measurement ours = run(simulated, policy::flaxtiller);
+    const measurement measured = run(simulated, policy::flaxtiller);
     const measurement single = run(simulated, policy::single_try);
-    CAPTURE(fault, simulated.load, static_cast<int>(simulated.when_full), ours.p99_ms, single.p99_ms);
-    CHECK(ours.p99_ms <= single.p99_ms * 1.03);
-    CHECK(ours.coverage >= single.coverage - 0.0005);
-    CHECK(ours.most_in_use <= 3);
+    CAPTURE(fault, simulated.load, static_cast<int>(simulated.when_full), measured.p99_ms, single.p99_ms);
+    CHECK(measured.p99_ms <= single.p99_ms * 1.03);
+    CHECK(measured.coverage >= single.coverage - 0.0005);
+    CHECK(measured.most_in_use <= 3);
 }
 
 TEST_CASE("under an overload of 1.5 times the excess is refused and the throughput stays useful", "[policy]")
@@ -104,14 +104,14 @@
     simulated.deadline = flaxtiller::duration::from_ms(180);
     simulated.fan_out = 30;
     simulated.queries = 9000;
-    const measurement ours = run(simulated, policy::flaxtiller);
+    const measurement measured = run(simulated, policy::flaxtiller);
     situation without_burst = simulated;
     without_burst.burst_factor = 1.0;
-    CAPTURE(ours.useful_throughput, ours.refusal_ms, ours.p99_after_ms);
-    CHECK(ours.useful_throughput >= 0.95);
-    CHECK(ours.refused > 0.05);
+    CAPTURE(measured.useful_throughput, measured.refusal_ms, measured.p99_after_ms);
+    CHECK(measured.useful_throughput >= 0.95);
+    CHECK(measured.refused > 0.05);
     // Refusals are answered immediately, by the entry that received the request.
-    CHECK(ours.refusal_ms == 0.0);
+    CHECK(measured.refusal_ms == 0.0);
     // Two seconds after the overload the latency is back to normal.
-    CHECK(ours.p99_after_ms <= run(without_burst, policy::flaxtiller).p99_ms * 1.1);
+    CHECK(measured.p99_after_ms <= run(without_burst, policy::flaxtiller).p99_ms * 1.1);
 }
--- a/tests/src/unit-query.cpp
+++ b/tests/src/unit-query.cpp
@@ -177,15 +177,16 @@
 
     SECTION("has the outcome not run only if no part can have been run")
     {
-        const outcome last = GENERATE(outcome::not_run, outcome::unknown);
+        const outcome last_outcome = GENERATE(outcome::not_run, outcome::unknown);
         query.start(view);
         for (const auto& part : query.take_parts())
         {
             (void)query.on_result(
                 part.number,
-                missing(part.shard, missing_reason::cut, part.shard == 2 ? last : outcome::not_run), view);
+                missing(part.shard, missing_reason::cut, part.shard == 2 ? last_outcome : outcome::not_run),
+                view);
         }
-        CHECK(query.answer()->outcome == last);
+        CHECK(query.answer()->outcome == last_outcome);
     }
 }
 
--- a/tests/src/unit-scheduler.cpp
+++ b/tests/src/unit-scheduler.cpp
@@ -145,7 +145,7 @@
     {
         record_stragglers(driver);
         const subquery_id id = driver.submit();
-        const attempt_id late = driver.running.begin()->first;
+        const attempt_id overdue = driver.running.begin()->first;
         driver.advance_until(
             [&]
             {
@@ -154,10 +154,10 @@
             45);
         REQUIRE(driver.running.size() == 2);
         const attempt_id hedge = std::prev(driver.running.end())->first;
-        CHECK(driver.running.at(hedge).server != driver.running.at(late).server);
+        CHECK(driver.running.at(hedge).server != driver.running.at(overdue).server);
         driver.answer(hedge);
         CHECK(driver.finished.at(id).outcome == outcome::run);
-        CHECK(driver.cancelled == std::vector<attempt_id>{late});
+        CHECK(driver.cancelled == std::vector<attempt_id>{overdue});
     }
 
     SECTION("without a free slot the overdue attempt is cancelled, and its replacement gets the slot first")
@@ -175,9 +175,9 @@
             },
             45);
         REQUIRE_FALSE(driver.cancelled.empty());
-        const attempt_id late = driver.cancelled.front();
-        const subquery_id id = driver.running.at(late).subquery;
-        driver.fail(late, attempt_status::cancelled);
+        const attempt_id overdue = driver.cancelled.front();
+        const subquery_id id = driver.running.at(overdue).subquery;
+        driver.fail(overdue, attempt_status::cancelled);
         CHECK_NOTHROW(driver.attempt_of(id));
         CHECK_THROWS(driver.attempt_of(waiting));
     }
@@ -196,9 +196,9 @@
             },
             45);
         REQUIRE_FALSE(driver.cancelled.empty());
-        const attempt_id late = driver.cancelled.front();
-        const subquery_id id = driver.running.at(late).subquery;
-        driver.answer(late);
+        const attempt_id overdue = driver.cancelled.front();
+        const subquery_id id = driver.running.at(overdue).subquery;
+        driver.answer(overdue);
         CHECK(driver.finished.at(id).outcome == outcome::run);
     }
 
