--- a/include/flaxtiller/dispatch/scheduler.hpp
+++ b/include/flaxtiller/dispatch/scheduler.hpp
@@ -160,6 +160,7 @@
         server_available,
     };
 
+    /// @brief A timer of an attempt, a subquery or a backend server, depending on its kind.
     struct timer
     {
         time_point at;
@@ -169,6 +170,7 @@
         auto operator<=>(const timer&) const = default;
     };
 
+    /// @brief An attempt that has not ended.
     struct attempt
     {
         subquery_id subquery = 0;
@@ -189,6 +191,7 @@
         time_point cancelled_at;
     };
 
+    /// @brief A subquery that is not finished.
     struct pending_subquery
     {
         subquery spec;
@@ -199,7 +202,8 @@
         /// Whether the subquery waits for the time @ref backoff, rather than for a slot.
         bool backing_off = false;
         duration backoff{};
-        /// Whether no attempt is started, except for one where @ref one_attempt_allowed is set.
+        /// Whether the subquery is on hold, so that no attempt is started, except for one where @ref
+        /// one_attempt_allowed is set.
         bool held = false;
         bool one_attempt_allowed = false;
         /// Whether a backend server may have run an attempt.
@@ -207,17 +211,19 @@
         missing_reason last_reason = missing_reason::late;
         duration retry_after{};
         /// The backend server, other than the designated one, to which the subquery was sent.
-        std::optional<server_index> other;
+        std::optional<server_index> second_server;
         /// The backend servers on which an attempt failed since the last backoff.
-        std::vector<server_index> tried;
+        std::vector<server_index> failed_servers;
     };
 
+    /// @brief The limit of the requests to a cold backend server.
     struct warmup_limit
     {
         time_point until;
         warmup_share share;
     };
 
+    /// @brief The backend servers and the queue of one shard.
     struct shard_state
     {
         std::vector<server_index> replicas;
@@ -226,11 +232,11 @@
     };
 
     // Choice of a backend server.
-    bool eligible(const server_state& server, const pending_subquery& item, time_point now) const;
+    bool is_eligible(const server_state& server, const pending_subquery& item, time_point now) const;
     bool is_allowed(const server_state& server, const pending_subquery& item) const;
     static bool is_in_region(const server_state& server, const pending_subquery& item);
     bool may_have_come_back(const server_state& server, const pending_subquery& item, time_point now) const;
-    bool usable(const server_state& server, time_point now) const;
+    bool is_usable(const server_state& server, time_point now) const;
     static bool is_cold_without_share(const server_state& server, time_point now);
     void spend_warmup_token(server_state& server, server_index index, time_point now);
     void apply_warmup_limit(server_state& server, server_index index, time_point now);
@@ -244,18 +250,18 @@
     duration overdue_after(const attempt& begun) const;
     bool is_stalled(const server_state& server) const noexcept;
     bool spend_budget(time_point now);
-    bool prefer(server_index candidate, server_index over, time_point now) const;
+    bool is_preferred(server_index candidate, server_index over, time_point now) const;
     bool can_afford_retry() const noexcept;
     bool was_tried(server_index index, const pending_subquery& item) const;
     bool can_pipeline(const server_state& server, time_point now) const;
     std::optional<server_index> free_server(const pending_subquery& item, time_point now,
                                             std::optional<server_index> avoid = std::nullopt) const;
     std::optional<server_index> pipelining_server(const pending_subquery& item, time_point now) const;
-    bool better_to_wait(server_index candidate, const pending_subquery& item, time_point now) const;
+    bool is_waiting_faster(server_index candidate, const pending_subquery& item, time_point now) const;
 
     // The queue.
     void enqueue(pending_subquery& item, time_point key, time_point now);
-    void unqueue(pending_subquery& item);
+    void remove_from_queue(pending_subquery& item);
     void run_queue_of(int shard, time_point now);
     void drop_unservable(int shard, time_point now);
     void run_queues_at(server_index index, time_point now);
--- a/include/flaxtiller/dispatch/server_state.hpp
+++ b/include/flaxtiller/dispatch/server_state.hpp
@@ -34,14 +34,17 @@
     int in_use = 0;
     /// The number of these attempts that are overdue.
     int overdue_in_use = 0;
+    /// The number of samples in the moving average of the latencies.
     int recent_samples = 0;
     /// The moving average of the latencies, for the choice between backend servers.
     duration recent_latency{};
     /// The latencies of this backend server, recorded only for scheduler_options::overdue_by_server.
     latency_estimator latency{server_latency_memory};
+    /// The time of the last sample.
     time_point observed_at{};
     /// The pipelined attempt, which waits at the backend server for a slot; 0 for none.
     attempt_id pipelined_attempt = 0;
+    /// The time at which the backend server last shed an attempt.
     time_point shed_at = time_point() - duration::from_ms(3600000);
     /// The time until which no attempts are sent, because the backend server shed one.
     time_point busy_until{};
@@ -74,6 +77,7 @@
     token_budget cold_tokens{0.0, 0.0};
 
     int cancel_failures_in_row = 0;
+    /// The time until which overdue attempts are not cancelled and replaced, because cancels failed.
     time_point replace_paused_until{};
 
     /// @brief Discards the observations of the previous process run. Attempts that use a slot continue to be
--- a/src/dispatch/scheduler.cpp
+++ b/src/dispatch/scheduler.cpp
@@ -196,7 +196,7 @@
     for (const server_index index : shard.replicas)
     {
         const server_state& server = m_servers[index];
-        if (!eligible(server, item, now) || server.ejected_until > now)
+        if (!is_eligible(server, item, now) || server.ejected_until > now)
         {
             continue;
         }
@@ -296,7 +296,7 @@
             if (found != m_pending.end() && found->second.backing_off)
             {
                 found->second.backing_off = false;
-                found->second.tried.clear();
+                found->second.failed_servers.clear();
                 enqueue(found->second, found->second.spec.deadline, now);
             }
             break;
--- a/src/dispatch/scheduler_choice.cpp
+++ b/src/dispatch/scheduler_choice.cpp
@@ -45,7 +45,7 @@
     {
         return true;
     }
-    return !item.spec.again && (!item.other || &m_servers[*item.other] == &server);
+    return !item.spec.again && (!item.second_server || &m_servers[*item.second_server] == &server);
 }
 
 bool scheduler::is_in_region(const server_state& server, const pending_subquery& item)
@@ -53,7 +53,7 @@
     return !item.spec.regions || item.spec.regions->allows(server.region);
 }
 
-bool scheduler::eligible(const server_state& server, const pending_subquery& item, time_point now) const
+bool scheduler::is_eligible(const server_state& server, const pending_subquery& item, time_point now) const
 {
     if (!is_in_region(server, item) || !is_allowed(server, item))
     {
@@ -71,7 +71,7 @@
     return std::find(held.begin(), held.end(), item.spec.version) != held.end();
 }
 
-bool scheduler::usable(const server_state& server, time_point now) const
+bool scheduler::is_usable(const server_state& server, time_point now) const
 {
     const bool has_token = now >= server.cold_until || server.cold_tokens.tokens_at(now) >= 1.0;
     return server.ejected_until <= now && server.busy_until <= now && has_token;
@@ -92,7 +92,7 @@
 
 bool scheduler::has_slot(const server_state& server, time_point now) const
 {
-    return usable(server, now) && server.in_use < slots_of(server);
+    return is_usable(server, now) && server.in_use < slots_of(server);
 }
 
 duration scheduler::expected_latency(const server_state& server, time_point now) const
@@ -154,7 +154,8 @@
 
 bool scheduler::was_tried(server_index index, const pending_subquery& item) const
 {
-    return std::find(item.tried.begin(), item.tried.end(), index) != item.tried.end();
+    return std::find(item.failed_servers.begin(), item.failed_servers.end(), index) !=
+           item.failed_servers.end();
 }
 
 /// @return the age at which an attempt is overdue, in proportion to the size of its subquery
@@ -168,7 +169,7 @@
     return m_options.avoid_stalled && server.in_use > 0 && server.overdue_in_use == server.in_use;
 }
 
-bool scheduler::prefer(server_index candidate, server_index over, time_point now) const
+bool scheduler::is_preferred(server_index candidate, server_index over, time_point now) const
 {
     const server_state& a = m_servers[candidate];
     const server_state& b = m_servers[over];
@@ -213,7 +214,7 @@
     const connection_share share = own_share(server);
     const bool spare_connection = share.for_subqueries > server.definition.slots;
     const bool queues = now - server.shed_at >= m_options.pipelining_pause_after_shed;
-    return m_options.max_pipelined > 0 && spare_connection && queues && usable(server, now) &&
+    return m_options.max_pipelined > 0 && spare_connection && queues && is_usable(server, now) &&
            server.pipelined_attempt == 0 && server.ejections_in_row == 0 && server.in_use == slots_of(server);
 }
 
@@ -228,8 +229,8 @@
     for (const server_index index : m_shards[static_cast<std::size_t>(item.spec.shard)].replicas)
     {
         const server_state& server = m_servers[index];
-        const bool fits = eligible(server, item, now) && can_pipeline(server, now);
-        if (fits && (!best || prefer(index, *best, now)))
+        const bool fits = is_eligible(server, item, now) && can_pipeline(server, now);
+        if (fits && (!best || is_preferred(index, *best, now)))
         {
             best = index;
         }
@@ -248,18 +249,18 @@
     for (const server_index index : m_shards[static_cast<std::size_t>(item.spec.shard)].replicas)
     {
         const server_state& server = m_servers[index];
-        if (!eligible(server, item, now) || !has_slot(server, now))
+        if (!is_eligible(server, item, now) || !has_slot(server, now))
         {
             continue;
         }
         const bool differ = best && unwanted(index) != unwanted(*best);
-        const bool better = !best || (differ ? unwanted(*best) : prefer(index, *best, now));
+        const bool better = !best || (differ ? unwanted(*best) : is_preferred(index, *best, now));
         best = better ? index : best;
     }
     return best;
 }
 
-bool scheduler::better_to_wait(server_index candidate, const pending_subquery& item, time_point now) const
+bool scheduler::is_waiting_faster(server_index candidate, const pending_subquery& item, time_point now) const
 {
     const duration here = expected_latency(m_servers[candidate], now);
     const shard_state& shard = m_shards[static_cast<std::size_t>(item.spec.shard)];
@@ -268,8 +269,8 @@
                        [&](server_index index)
                        {
                            const server_state& other = m_servers[index];
-                           if (index == candidate || !eligible(other, item, now) || !usable(other, now) ||
-                               is_stalled(other))
+                           if (index == candidate || !is_eligible(other, item, now) ||
+                               !is_usable(other, now) || is_stalled(other))
                            {
                                return false;
                            }
--- a/src/dispatch/scheduler_detail.hpp
+++ b/src/dispatch/scheduler_detail.hpp
@@ -8,8 +8,10 @@
 
 /// The number of samples that a backend server needs before it can count as slow.
 inline constexpr int min_server_samples = 20;
+/// The number of samples of the service that are needed before they determine when an attempt is overdue.
 inline constexpr std::size_t min_service_samples = 32;
-/// The limit for overdue attempts on a slow backend server, at most, as a multiple of the service's limit.
+/// The upper bound of the age at which an attempt on a slow backend server is overdue, as a multiple of the
+/// age for the whole service.
 inline constexpr double max_overdue_ratio = 3.0;
 /// The moving average counts a latency as at most this multiple of the median.
 inline constexpr double outlier_ratio = 4.0;
@@ -25,24 +27,29 @@
 /// cost raised the worth of urgent requests from 0.94 to 0.98 of the maximum, and reduced the failed wide
 /// requests from 41 to none of 2,800.
 inline constexpr double lost_part_penalty = 10.0;
+/// The least weight of a sample in the moving average of the latencies of a backend server.
 inline constexpr double min_average_weight = 0.1;
 /// The weight of one attempt in the moving average of the time for which an attempt uses a slot.
 inline constexpr double mean_hold_weight = 0.01;
 /// The number of queued subqueries of a shard that are examined for a free slot, as some may not be eligible
 /// for the backend server.
 inline constexpr int queue_scan_limit = 8;
+/// The bounds of the time for which a subquery waits once all backend servers failed, and for which a backend
+/// server that shed gets no attempts.
 inline constexpr duration min_backoff = duration::from_ms(2);
 inline constexpr duration max_backoff = duration::from_ms(100);
 
 /// The queue key of replacements of overdue attempts, which precede all other queued subqueries.
 inline constexpr time_point front_of_queue{};
 
+/// @return whether an attempt with this status was certainly not run
 inline bool was_not_run(attempt_status status) noexcept
 {
     return status == attempt_status::unreachable || status == attempt_status::shed ||
            status == attempt_status::leaving || status == attempt_status::wrong_version;
 }
 
+/// @return the reason that is given for a subquery whose last attempt ended with this status
 inline missing_reason reason_for(attempt_status status) noexcept
 {
     switch (status)
--- a/src/dispatch/scheduler_queue.cpp
+++ b/src/dispatch/scheduler_queue.cpp
@@ -72,7 +72,7 @@
     item.held = true;
     item.one_attempt_allowed = false;
     item.backing_off = false;
-    unqueue(item);
+    remove_from_queue(item);
 }
 
 void scheduler::start_one_attempt(subquery_id id, time_point now)
@@ -81,7 +81,7 @@
     if (found != m_pending.end() && is_idle_on_hold(id))
     {
         found->second.one_attempt_allowed = true;
-        found->second.tried.clear();
+        found->second.failed_servers.clear();
         enqueue(found->second, found->second.spec.deadline, now);
     }
 }
@@ -99,7 +99,7 @@
     item.one_attempt_allowed = false;
     if (idle)
     {
-        item.tried.clear();
+        item.failed_servers.clear();
         enqueue(item, item.spec.deadline, now);
     }
 }
@@ -111,7 +111,7 @@
            found->second.running.empty();
 }
 
-void scheduler::unqueue(pending_subquery& item)
+void scheduler::remove_from_queue(pending_subquery& item)
 {
     if (!item.queued)
     {
@@ -135,13 +135,13 @@
     {
         pending_subquery& head = m_pending.at(queue.begin()->second);
         const auto index = free_server(head, now);
-        if (index && !better_to_wait(*index, head, now))
+        if (index && !is_waiting_faster(*index, head, now))
         {
             start(head, *index, now);
             continue;
         }
         const auto pipelined = pipelining_server(head, now);
-        if (!pipelined || better_to_wait(*pipelined, head, now))
+        if (!pipelined || is_waiting_faster(*pipelined, head, now))
         {
             break;
         }
@@ -201,7 +201,7 @@
             pending_subquery& item = m_pending.at(id);
             const bool tried = was_tried(index, item);
             const bool fits = !pipelined || item.spec.repeatable;
-            if (fits && eligible(server, item, now) && !tried && !better_to_wait(index, item, now))
+            if (fits && is_eligible(server, item, now) && !tried && !is_waiting_faster(index, item, now))
             {
                 if (first == nullptr || key < first->queue_key)
                 {
@@ -238,7 +238,7 @@
 
 void scheduler::start(pending_subquery& item, server_index index, time_point now, bool pipelined)
 {
-    unqueue(item);
+    remove_from_queue(item);
     item.one_attempt_allowed = false;
     server_state& server = m_servers[index];
     spend_warmup_token(server, index, now);
@@ -259,7 +259,7 @@
     item.running.push_back(id);
     if (!item.spec.designated.empty() && server.definition.name != item.spec.designated)
     {
-        item.other = index;
+        item.second_server = index;
     }
     ++item.attempts;
     ++server.in_use;
--- a/src/dispatch/scheduler_results.cpp
+++ b/src/dispatch/scheduler_results.cpp
@@ -184,12 +184,12 @@
     {
         item.maybe_run = true;
     }
-    if (result.status == attempt_status::unreachable && item.other == index)
+    if (result.status == attempt_status::unreachable && item.second_server == index)
     {
         // The subquery did not reach the backend server, which therefore is not one of the two allowed ones.
-        item.other.reset();
+        item.second_server.reset();
     }
-    item.tried.push_back(index);
+    item.failed_servers.push_back(index);
     item.last_reason = reason_for(result.status);
     item.retry_after = std::max(item.retry_after, result.retry_after);
     if (!item.running.empty() || item.queued)
@@ -243,7 +243,7 @@
                                           [&](server_index index)
                                           {
                                               return !was_tried(index, item) &&
-                                                     eligible(m_servers[index], item, now) &&
+                                                     is_eligible(m_servers[index], item, now) &&
                                                      m_servers[index].ejected_until <= now;
                                           });
     if (untried_left)
@@ -268,7 +268,7 @@
     {
         return;
     }
-    unqueue(found->second);
+    remove_from_queue(found->second);
     for (const attempt_id running : found->second.running)
     {
         cancel(running, now);
@@ -284,7 +284,7 @@
     {
         return;
     }
-    unqueue(found->second);
+    remove_from_queue(found->second);
     m_timers.erase({found->second.spec.deadline, timer_kind::deadline, id});
     m_pending.erase(found);
 }
@@ -314,7 +314,7 @@
         const server_state& server = m_servers[index];
         any_staying = any_staying || !server.is_leaving();
         any_in_region = any_in_region || (!server.is_leaving() && is_in_region(server, item));
-        if (!eligible(server, item, now))
+        if (!is_eligible(server, item, now))
         {
             continue;
         }
@@ -366,7 +366,7 @@
 {
     const auto found = m_pending.find(id);
     pending_subquery& item = found->second;
-    unqueue(item);
+    remove_from_queue(item);
     const std::vector<attempt_id> losers = item.running;
     const time_point deadline = item.spec.deadline;
     m_pending.erase(found);
