--- a/include/flaxtiller/routing/caller_admission.hpp
+++ b/include/flaxtiller/routing/caller_admission.hpp
@@ -24,7 +24,7 @@
 };
 
 /// @brief Refuse the request; it was not run and never will be.
-struct turn_away_request
+struct reject_request
 {
     request_number request = 0;
     routed_outcome outcome;
@@ -33,12 +33,12 @@
 };
 
 /// @brief Send this to the control replica that keeps the limits.
-struct report_use
+struct send_limit_report
 {
     limit_report report;
 };
 
-using admission_action = std::variant<admit_request, turn_away_request, report_use>;
+using admission_action = std::variant<admit_request, reject_request, send_limit_report>;
 
 /// @brief Decides of each caller's request, before anything else of it is decided, whose it is and whether
 /// its team may send it now. What other entries ask for was admitted there. Deterministic.
--- a/include/flaxtiller/routing/group_choice.hpp
+++ b/include/flaxtiller/routing/group_choice.hpp
@@ -16,8 +16,8 @@
 {
   public:
     /// How long an entry that failed or was silent gets no groups; doubled with each further failure.
-    static constexpr duration pass_over = duration::from_ms(1000);
-    static constexpr duration most_pass_over = duration::from_ms(8000);
+    static constexpr duration backoff = duration::from_ms(1000);
+    static constexpr duration max_backoff = duration::from_ms(8000);
 
     /// @brief Shards that another entry shall run.
     struct group
@@ -51,7 +51,7 @@
     }
 
   private:
-    bool may_ask(const instance_name& peer, time_point now) const;
+    bool is_available(const instance_name& peer, time_point now) const;
     std::optional<instance_name> first_of(const shard_plan::group& item, time_point now);
 
     instance_name m_self;
@@ -63,7 +63,7 @@
         duration length{};
     };
 
-    std::map<instance_name, failures> m_passed_over;
+    std::map<instance_name, failures> m_backoffs;
     std::size_t m_turn = 0;
 };
 
--- a/include/flaxtiller/routing/routed_outcome.hpp
+++ b/include/flaxtiller/routing/routed_outcome.hpp
@@ -58,7 +58,7 @@
     /// Attempts on backend servers.
     int attempts = 0;
     /// The entries that ran some of it on this one's behalf.
-    std::vector<instance_name> elsewhere;
+    std::vector<instance_name> delegates;
     /// How long it took, for an entry that asked.
     duration took{};
     /// Set where backend servers crashed under it, for an entry that asked.
--- a/include/flaxtiller/routing/routed_request.hpp
+++ b/include/flaxtiller/routing/routed_request.hpp
@@ -32,9 +32,9 @@
     /// Set where another entry asks on its caller's behalf: the identity of the list of shards that it goes
     /// by. Only an entry whose route has the same list may run the request, lest parts of two shard maps are
     /// mixed.
-    std::uint64_t asked_list = 0;
+    std::uint64_t delegated_list = 0;
     /// Set with it: the shards that shall be run, by their positions in that list.
-    std::vector<std::size_t> asked_shards;
+    std::vector<std::size_t> delegated_shards;
     /// Set with it where a second entry may be asked, too: for each of those shards the backend server that
     /// both use beside at most one other, which is the first one's; see dispatch::subquery::designated.
     std::vector<backend_server_name> designated;
@@ -43,16 +43,16 @@
     /// Set with it: when to tell the asker what is in so far.
     duration progress_within{};
     /// Set with it: another entry may have run it already, so that all of it counts as repeated.
-    bool asked_again = false;
+    bool is_repeated_delegation = false;
     /// Set with it: where the asker's route lets it run. The route that this entry knows binds, too.
-    region_set asked_regions;
+    region_set delegated_regions;
 
     bool operator==(const routed_request&) const = default;
 
     /// @return whether another entry asks on its caller's behalf
-    bool is_asked() const noexcept
+    bool is_delegated() const noexcept
     {
-        return asked_list != 0;
+        return delegated_list != 0;
     }
 };
 
--- a/include/flaxtiller/routing/router.hpp
+++ b/include/flaxtiller/routing/router.hpp
@@ -54,11 +54,11 @@
                        std::shared_ptr<const backend_answer> answer, time_point now);
 
     /// @brief Another entry answered what it was asked by @ref ask_entry, in full or so far.
-    void entry_answered(const instance_name& peer, ask_number number, const routed_outcome& outcome,
+    void on_delegation_outcome(const instance_name& peer, delegation_number number, const routed_outcome& outcome,
                         time_point now);
 
     /// @brief The link to another entry broke: what it was asked is asked elsewhere at once.
-    void entry_lost(const instance_name& peer, time_point now);
+    void on_entry_disconnected(const instance_name& peer, time_point now);
 
     /// @brief What other processes know of requests that crash backend servers.
     void on_crash_records(const std::vector<crash_record>& records, time_point now);
@@ -83,10 +83,10 @@
     std::size_t open_requests() const noexcept;
 
     /// @return the other entries that own shards of fan-outs: whom to keep links to
-    std::set<instance_name> owners_asked() const;
+    std::set<instance_name> owners_to_link() const;
 
     /// @return how many instances share the connections to the service's backend servers
-    int sharers_of(const service_name& service) const;
+    int connection_sharers_of(const service_name& service) const;
 
     /// @return what is known of requests that crash backend servers
     const crash_ledger& crashes() const noexcept
@@ -95,18 +95,18 @@
     }
 
     /// @return how often a service's scheduler was configured since the beginning
-    std::uint64_t services_configured() const noexcept
+    std::uint64_t schedulers_configured() const noexcept
     {
-        return m_lanes_configured;
+        return m_schedulers_configured;
     }
 
     /// @return the scheduler of a service, or nothing
     const dispatch::scheduler* scheduler_of(const service_name& service) const;
 
   private:
-    using lane_index = std::uint64_t;
+    using scheduler_index = std::uint64_t;
 
-    struct lane
+    struct service_scheduler
     {
         service_name service;
         dispatch::scheduler scheduler;
@@ -136,7 +136,7 @@
         /// Whether the entry that asked has it already.
         bool told = false;
         /// Set once it is run here.
-        lane_index at = 0;
+        scheduler_index at = 0;
         dispatch::subquery_id subquery = 0;
         bool over = false;
         int attempts = 0;
@@ -151,7 +151,7 @@
     /// What one entry was asked of a group.
     struct ask
     {
-        ask_number number = 0;
+        delegation_number number = 0;
         instance_name peer;
         time_point sent_at;
         bool heard = false;
@@ -207,7 +207,7 @@
         /// When a fan-out answers with what is in.
         time_point answer_at;
         /// When groups of which nothing was heard are asked elsewhere.
-        time_point group_late_at = time_point::never();
+        time_point group_check_at = time_point::never();
         /// When the entry that asked is told what is in so far.
         time_point progress_at = time_point::never();
         /// When it is looked at next.
@@ -235,7 +235,7 @@
 
     struct started
     {
-        lane_index at = 0;
+        scheduler_index at = 0;
         dispatch::attempt_id attempt = 0;
         dispatch::subquery_id subquery = 0;
         request_number request = 0;
@@ -256,7 +256,7 @@
         dispatch::subquery_id subquery = 0;
     };
 
-    lane_index lane_of(const service_name& service);
+    scheduler_index scheduler_index_of(const service_name& service);
     std::vector<part> parts_of(const route& by, const routed_request& request);
     void refuse(request_number number, const route* by, missing_reason reason, duration retry_after = {});
     void refuse_quarantined(request_number number, const route& by, const request_fingerprint& fingerprint,
@@ -266,45 +266,45 @@
     static std::shared_ptr<const region_set> regions_of(const route& by, const routed_request& request);
     std::shared_ptr<const route> route_for(const team_name& name, std::shared_ptr<const route> by);
     bool is_outside(const routed_request& request, const std::shared_ptr<const region_set>& regions) const;
-    void take_answer(const instance_name& peer, ask_number number, const routed_outcome& outcome,
+    void take_answer(const instance_name& peer, delegation_number number, const routed_outcome& outcome,
                      time_point now);
-    void ask_elsewhere(request_number number, open_request& opened, time_point now);
-    void ask_one(request_number number, open_request& opened, group& wanted, const instance_name& peer,
+    void delegate_groups(request_number number, open_request& opened, time_point now);
+    void delegate_group(request_number number, open_request& opened, group& wanted, const instance_name& peer,
                  bool again, time_point now);
-    void run_here(request_number number, const std::vector<std::size_t>& wanted, bool again, time_point now);
-    bool run_group_here(request_number number, group& lost, bool again, time_point now);
-    void replace_ask(request_number number, group& asked, bool again, time_point now);
-    bool move_group(request_number number, group& lost, bool again, time_point now);
-    void drop_ask(request_number number, group& asked, const ask& failed, const routed_outcome& outcome,
+    void run_locally(request_number number, const std::vector<std::size_t>& wanted, bool again, time_point now);
+    bool run_group_locally(request_number number, group& lost, bool again, time_point now);
+    void replace_delegation(request_number number, group& asked, bool again, time_point now);
+    bool reassign_group(request_number number, group& lost, bool again, time_point now);
+    void on_delegation_failed(request_number number, group& asked, const ask& failed, const routed_outcome& outcome,
                   time_point now);
-    void move_silent_groups(request_number number, time_point now);
+    void reassign_silent_groups(request_number number, time_point now);
     static void take_outcome(open_request& opened, group& asked, ask& from, const routed_outcome& outcome);
     static void end_group(open_request& opened, group& asked);
     static void describe(const open_request& opened, routed_outcome& outcome);
-    void tell_progress(request_number number, open_request& opened, time_point now);
-    duration way_to(const instance_name& peer) const;
-    void note_way(const instance_name& peer, duration way);
-    bool can_pay_again(const open_request& opened, const group& wanted) const;
-    bool may_run_twice(const open_request& opened) const;
+    void send_progress(request_number number, open_request& opened, time_point now);
+    duration round_trip_to(const instance_name& peer) const;
+    void record_round_trip(const instance_name& peer, duration way);
+    bool group_has_retry_budget(const open_request& opened, const group& wanted) const;
+    bool fits_attempt_limit(const open_request& opened) const;
     backend_server_name designated_of(const open_request& opened, const service_name& service,
                                       const entry_peer& near) const;
     static std::size_t parts_in(const open_request& opened);
     routed_outcome merged_so_far(const open_request& opened) const;
-    double allowance_of(const service_name& service) const;
+    double retry_budget_share_of(const service_name& service) const;
     double least_share_of(const open_request& opened) const;
     duration time_to_answer(const route& by, const routed_request& request) const;
     void set_timer(request_number number, open_request& opened);
-    void configure_lane(lane_index at, const shared_value<placed_service>& placed, bool places_changed,
+    void configure_scheduler(scheduler_index at, const shared_value<placed_service>& placed, bool places_changed,
                         time_point now);
     void limit_cold_servers(const cold_servers& before, time_point now);
     void limit_cold(const backend_server_name& name, const cold_server& cold, time_point now);
-    void note_due(lane_index at, lane& item);
+    void note_due(scheduler_index at, service_scheduler& item);
     void detach(const part& asked);
     void submit(open_request& opened, part& wanted, double size, bool again, time_point now);
-    void collect(lane_index at, time_point now);
-    void take(lane_index at, const dispatch::start_attempt& action, time_point now);
-    void take(lane_index at, const dispatch::cancel_attempt& action);
-    void take(lane_index at, const dispatch::finish_subquery& action, time_point now);
+    void collect(scheduler_index at, time_point now);
+    void take(scheduler_index at, const dispatch::start_attempt& action, time_point now);
+    void take(scheduler_index at, const dispatch::cancel_attempt& action);
+    void take(scheduler_index at, const dispatch::finish_subquery& action, time_point now);
     void settle(request_number number, open_request& opened, time_point now);
     void settle_single(request_number number, open_request& opened);
     void settle_fan_out(request_number number, open_request& opened, time_point now);
@@ -315,11 +315,11 @@
     void finish(request_number number, open_request& opened, routed_outcome outcome);
     bool enough_in(const open_request& opened) const;
     void on_timer(request_number number, time_point now);
-    void drop_undeclared_lanes(time_point now);
+    void drop_undeclared_services(time_point now);
     static const request_fingerprint& fingerprint_of(open_request& opened);
     crash_ledger::standing standing_of(open_request& opened, time_point now) const;
-    bool is_barred(open_request& opened, time_point now) const;
-    void take_in(const std::vector<crash_record>& records, time_point now);
+    bool is_held_or_quarantined(open_request& opened, time_point now) const;
+    void merge_crash_records(const std::vector<crash_record>& records, time_point now);
     void observe_crash(const started& ended, time_point now);
     void observe_answer(const started& ended, time_point now);
     std::int64_t born_ms_of(const started& attempt) const;
@@ -329,7 +329,7 @@
     void release(request_number number, open_request& opened, time_point now);
     void end_trial(dispatch::subquery_id subquery, time_point now);
     void forget_held(request_number number);
-    void abandon_asks(const open_request& opened, bool stops);
+    void abandon_delegations(const open_request& opened, bool stops);
     void detach_parts(const open_request& opened);
     void settle_held(time_point now);
     bool is_under_way(const open_request& opened) const;
@@ -338,7 +338,7 @@
     bool try_part_of(request_number number, time_point now);
     bool can_be_tried(const part& item, const std::shared_ptr<const region_set>& regions,
                       time_point now) const;
-    void tell_crashes(time_point now);
+    void publish_crash_changes(time_point now);
 
     router_options m_options;
     routing_view m_view;
@@ -346,25 +346,25 @@
     group_choice m_groups;
     /// The other entries, and what the way to and from a region's entries costs, a moving average.
     std::map<instance_name, entry_peer> m_peers;
-    std::map<std::string, duration> m_ways;
+    std::map<std::string, duration> m_round_trips;
     /// Routes as they hold for teams that are bound to regions, by the names of both.
     std::map<std::pair<std::string, team_name>, std::shared_ptr<const route>> m_team_routes;
-    std::map<lane_index, lane> m_lanes;
-    std::unordered_map<service_name, lane_index> m_lane_of;
+    std::map<scheduler_index, service_scheduler> m_service_schedulers;
+    std::unordered_map<service_name, scheduler_index> m_scheduler_indexes;
     /// Which scheduler has something to do when: hundreds of services, of which few are due at a time.
-    std::set<std::pair<time_point, lane_index>> m_due;
-    std::uint64_t m_lanes_configured = 0;
-    lane_index m_next_lane = 1;
+    std::set<std::pair<time_point, scheduler_index>> m_due;
+    std::uint64_t m_schedulers_configured = 0;
+    scheduler_index m_next_lane = 1;
     std::unordered_map<request_number, open_request> m_open;
     std::set<std::pair<time_point, request_number>> m_timers;
     dispatch::subquery_id m_next_subquery = 1;
     std::unordered_map<dispatch::subquery_id, origin> m_origins;
-    ask_number m_next_ask = 1;
-    std::unordered_map<ask_number, request_number> m_asks;
+    delegation_number m_next_delegation = 1;
+    std::unordered_map<delegation_number, request_number> m_delegations;
     routed_attempt_number m_next_attempt = 1;
     std::unordered_map<routed_attempt_number, started> m_started;
-    std::map<std::pair<lane_index, dispatch::attempt_id>, routed_attempt_number> m_number_of;
-    route_sizes m_sizes;
+    std::map<std::pair<scheduler_index, dispatch::attempt_id>, routed_attempt_number> m_number_of;
+    route_latencies m_route_latencies;
     crash_ledger m_crashes;
     /// Requests that are held back, the trial that is under way, and when the next one may begin.
     std::set<request_number> m_held;
--- a/include/flaxtiller/routing/router_action.hpp
+++ b/include/flaxtiller/routing/router_action.hpp
@@ -53,12 +53,12 @@
 };
 
 /// @brief Identity of what this instance asks of another entry.
-using ask_number = std::uint64_t;
+using delegation_number = std::uint64_t;
 
 /// @brief Let another entry run some shards of a fan-out; it answers by @ref router::entry_answered.
-struct ask_entry
+struct delegate_shards
 {
-    ask_number number = 0;
+    delegation_number number = 0;
     instance_name peer;
     /// The identity of the list of shards that the positions count in.
     std::uint64_t list = 0;
@@ -77,23 +77,23 @@
 };
 
 /// @brief Tell the entry that asked what is in so far; the final answer follows.
-struct tell_progress_to_entry
+struct send_partial_outcome
 {
     request_number request = 0;
     routed_outcome outcome;
 };
 
 /// @brief Tell that entry that nobody waits for it any more.
-struct abandon_at_entry
+struct abandon_delegation
 {
-    ask_number number = 0;
+    delegation_number number = 0;
     instance_name peer;
     /// Whether what runs is stopped, too, as its caller has gone; else it ends by itself.
     bool stops = false;
 };
 
 /// @brief Tell the control replicas what changed of requests that crash backend servers.
-struct tell_crash_records
+struct publish_crash_records
 {
     std::vector<crash_record> records;
 };
@@ -109,7 +109,7 @@
 };
 
 using router_action =
-    std::variant<start_routed_attempt, cancel_routed_attempt, answer_request, ask_entry, abandon_at_entry,
-                 tell_progress_to_entry, tell_crash_records, note_standing>;
+    std::variant<start_routed_attempt, cancel_routed_attempt, answer_request, delegate_shards, abandon_delegation,
+                 send_partial_outcome, publish_crash_records, note_standing>;
 
 } // namespace flaxtiller
--- a/include/flaxtiller/routing/router_options.hpp
+++ b/include/flaxtiller/routing/router_options.hpp
@@ -16,18 +16,18 @@
     /// to and from the caller, counted from the caller's own start.
     double objective_share = 0.85;
     /// Kept back from the objective and from the caller's patience for the way back.
-    duration way_back = duration::from_ms(5);
+    duration response_margin = duration::from_ms(5);
     /// Requests under way; one more is refused.
-    std::size_t most_requests = 2000;
+    std::size_t max_open_requests = 2000;
     /// When a caller that was refused for want of a backend server or of room shall come back, at least.
-    duration least_retry = duration::from_ms(100);
+    duration min_retry_after = duration::from_ms(100);
     /// The same where no backend server is registered: heartbeats come about every second.
     duration registration_retry = duration::from_ms(500);
 
     /// What the way to and from another entry is taken to cost before it was measured: two regions apart, and
     /// within one region on a busy instance.
-    duration first_way_far = duration::from_ms(30);
-    duration first_way_near = duration::from_ms(8);
+    duration initial_round_trip_far = duration::from_ms(30);
+    duration initial_round_trip_near = duration::from_ms(8);
     /// An entry that runs shards for another one tells what is in after this share of the time that it has:
     /// late enough that most have all by then, early enough to try another entry within the objective.
     double progress_share = 0.4;
@@ -36,7 +36,7 @@
     duration progress_grace = duration::from_ms(12);
     /// Past the objective, that is looked at once more after this long: less than what is left to most
     /// deadlines.
-    duration elsewhere_grace = duration::from_ms(40);
+    duration silence_recheck_delay = duration::from_ms(40);
 
     /// After a backend server crashed under a request, this passes before a suspect one is tried: what the
     /// same cause takes down goes within it, and a trial beside it would prove nothing.
@@ -52,7 +52,7 @@
     double retry_share = 0.9;
     /// Where shards have owners, this share of the allowance is theirs; the rest is for entries that run
     /// shards because no owner can.
-    double owners_share = 0.7;
+    double owner_budget_share = 0.7;
 
     /// In any one second a cold backend server may get this many times what its service says, and so many
     /// requests more, from all instances together.
--- a/include/flaxtiller/routing/shard_plan.hpp
+++ b/include/flaxtiller/routing/shard_plan.hpp
@@ -33,14 +33,14 @@
 {
   public:
     /// Fewer far shards than this are cheaper to ask directly.
-    static constexpr std::size_t least_group = 2;
+    static constexpr std::size_t min_group_size = 2;
     /// Entries that may run a group, the first choice included: one may have failed, and another be passed
     /// over.
-    static constexpr std::size_t most_owners = 4;
+    static constexpr std::size_t max_owners = 4;
     /// The owners of a group that also count what it may repeat: the first choice, and who stands in for it.
-    static constexpr std::size_t counting_owners = 2;
+    static constexpr std::size_t budgeted_owners = 2;
     /// Availability zones; replicas in further ones are known to no plan.
-    static constexpr std::size_t most_places = detail::most_places;
+    static constexpr std::size_t max_locations = detail::max_locations;
 
     /// @brief Shards that are run together.
     struct group
@@ -48,9 +48,9 @@
         /// Positions in the route's fan-out.
         std::vector<std::size_t> shards;
         /// The entries that may run them, most preferred first; this instance may be one.
-        std::vector<instance_name> runners;
+        std::vector<instance_name> runner_candidates;
         /// Whether the runners take turns, as none of them owns the group.
-        bool in_turn = false;
+        bool is_round_robin = false;
 
         bool operator==(const group&) const = default;
     };
@@ -90,7 +90,7 @@
     sender rank_of(const service_name& service, const std::string& key) const;
 
     /// @return the first two owners of each group of all fan-out routes: whom to keep links to
-    std::set<instance_name> first_owners() const;
+    std::set<instance_name> linked_owners() const;
 
     /// @return how often a list of shards was planned since the beginning
     std::uint64_t lists_planned() const noexcept
@@ -99,10 +99,10 @@
     }
 
   private:
-    using place_set = detail::place_set;
+    using location_set = detail::location_set;
     /// An entry's position in the order of their names.
     using entry_index = std::uint32_t;
-    static constexpr std::size_t nowhere = std::numeric_limits<std::size_t>::max();
+    static constexpr std::size_t no_index = std::numeric_limits<std::size_t>::max();
 
     struct availability_zone
     {
@@ -118,11 +118,11 @@
     };
 
     /// What the plan reads of a service's backend servers.
-    struct service_places
+    struct service_locations
     {
         shared_value<placed_service> seen;
         /// Those with a replica that isn't leaving.
-        place_set zones = 0;
+        location_set zones = 0;
         /// With more entries than this, some can't hold as many connections as a backend server has slots.
         int most_direct_entries = std::numeric_limits<int>::max();
     };
@@ -130,8 +130,8 @@
     struct planned_group
     {
         std::vector<std::size_t> shards;
-        std::vector<entry_index> runners;
-        bool in_turn = false;
+        std::vector<entry_index> runner_candidates;
+        bool is_round_robin = false;
     };
 
     /// A list of shards, and where its requests may run. Routes often share both.
@@ -152,7 +152,7 @@
     struct list_plan
     {
         /// By shard: the availability zones that hold it and where it may run.
-        std::vector<place_set> zones;
+        std::vector<location_set> zones;
         bool owned = false;
         std::vector<group> groups;
         /// By shard: the entries that any availability zone asks first.
@@ -162,21 +162,21 @@
     struct ownership
     {
         std::vector<entry_index> owners;
-        bool mine = false;
+        bool includes_self = false;
     };
 
-    bool note_places(const routing_view& view);
-    bool note_entries(const routing_view& view);
-    void list_entries();
+    bool update_zones(const routing_view& view);
+    bool update_entries(const routing_view& view);
+    void index_entries();
     std::size_t region_index(const std::string& name) const;
-    void note_services(const routing_view& view);
-    void note_service(const shared_value<placed_service>& placed, service_places& into) const;
+    void update_services(const routing_view& view);
+    void update_service(const shared_value<placed_service>& placed, service_locations& into) const;
     bool update_list(const route& by, bool entries_changed);
     void count_owners();
-    sender rank_among(const std::vector<entry_index>& senders, const std::string& key) const;
+    sender rank_among_senders(const std::vector<entry_index>& senders, const std::string& key) const;
     std::size_t zone_index(const std::string& name) const;
-    place_set zones_in(const region_set& regions) const;
-    place_set regions_of(place_set zones) const;
+    location_set zones_in(const region_set& regions) const;
+    location_set regions_of(location_set zones) const;
     list_plan make_list(const route& by) const;
     bool is_owned(const std::vector<service_name>& shards) const;
     void plan(const route& by, list_plan& into);
@@ -186,8 +186,8 @@
                         std::vector<planned_group>& into) const;
     void add_owned_groups(const route& by, std::size_t zone, const std::vector<std::size_t>& shards,
                           const std::string& salt, std::vector<planned_group>& into);
-    std::vector<entry_index> ranked(const std::string& key, const std::vector<entry_index>& entries);
-    group named(const planned_group& item) const;
+    std::vector<entry_index> rank_entries(const std::string& key, const std::vector<entry_index>& entries);
+    group to_group(const planned_group& item) const;
 
     shared_value<std::map<std::string, std::string>> m_region_of_zone;
     shared_value<std::vector<entry_peer>> m_peers;
@@ -200,7 +200,7 @@
     entry_index m_own_index = 0;
     std::vector<availability_zone> m_zones;
     std::vector<region> m_regions;
-    std::unordered_map<service_name, service_places> m_services;
+    std::unordered_map<service_name, service_locations> m_services;
     std::map<list_key, list_plan> m_lists;
     std::unordered_map<service_name, ownership> m_owners;
     /// Rankings of entries by key, as long as no entry comes or goes.
--- a/src/routing/caller_admission.cpp
+++ b/src/routing/caller_admission.cpp
@@ -40,7 +40,7 @@
         told.retry_after = over_limit->retry_after;
         ++m_counted[over_limit->team].over_limit;
     }
-    m_actions.emplace_back(turn_away_request{number, std::move(told), std::move(over_limit)});
+    m_actions.emplace_back(reject_request{number, std::move(told), std::move(over_limit)});
 }
 
 void caller_admission::arrive(request_number number, routed_request request, const std::string& key,
@@ -126,7 +126,7 @@
     }
     if (auto report = m_limiter.take_report(now))
     {
-        m_actions.emplace_back(report_use{std::move(*report)});
+        m_actions.emplace_back(send_limit_report{std::move(*report)});
     }
     return std::exchange(m_actions, {});
 }
--- a/src/routing/group_choice.cpp
+++ b/src/routing/group_choice.cpp
@@ -13,27 +13,27 @@
         if (view.unreachable->count(peer) == 0)
         {
             // It is back.
-            m_passed_over.erase(peer);
+            m_backoffs.erase(peer);
         }
     }
     m_unreachable = view.unreachable;
     m_plan.update(view);
 }
 
-bool group_choice::may_ask(const instance_name& peer, time_point now) const
+bool group_choice::is_available(const instance_name& peer, time_point now) const
 {
-    const auto passed_over = m_passed_over.find(peer);
+    const auto passed_over = m_backoffs.find(peer);
     return m_unreachable->count(peer) == 0 &&
-           (passed_over == m_passed_over.end() || passed_over->second.until <= now);
+           (passed_over == m_backoffs.end() || passed_over->second.until <= now);
 }
 
 std::optional<instance_name> group_choice::first_of(const shard_plan::group& item, time_point now)
 {
-    const std::size_t from = item.in_turn ? m_turn++ : 0;
-    for (std::size_t i = 0; i < item.runners.size(); ++i)
+    const std::size_t from = item.is_round_robin ? m_turn++ : 0;
+    for (std::size_t i = 0; i < item.runner_candidates.size(); ++i)
     {
-        const instance_name& peer = item.runners[(from + i) % item.runners.size()];
-        if (peer == m_self || may_ask(peer, now))
+        const instance_name& peer = item.runner_candidates[(from + i) % item.runner_candidates.size()];
+        if (peer == m_self || is_available(peer, now))
         {
             return peer;
         }
@@ -64,36 +64,36 @@
         {
             continue;
         }
-        if (item.in_turn)
+        if (item.is_round_robin)
         {
             // None of them is nearer to it than this one is.
             return m_self;
         }
-        const auto found = std::find_if(item.runners.begin(), item.runners.end(),
+        const auto found = std::find_if(item.runner_candidates.begin(), item.runner_candidates.end(),
                                         [&](const instance_name& peer)
                                         {
-                                            return peer != failed && (peer == m_self || may_ask(peer, now));
+                                            return peer != failed && (peer == m_self || is_available(peer, now));
                                         });
-        return found == item.runners.end() ? std::nullopt : std::optional(*found);
+        return found == item.runner_candidates.end() ? std::nullopt : std::optional(*found);
     }
     return std::nullopt;
 }
 
 void group_choice::failed(const instance_name& peer, time_point now)
 {
-    failures& known = m_passed_over[peer];
+    failures& known = m_backoffs[peer];
     if (known.until > now)
     {
         // Other requests that were under way failed with it.
         return;
     }
-    known.length = std::clamp(known.length * 2.0, pass_over, most_pass_over);
+    known.length = std::clamp(known.length * 2.0, backoff, max_backoff);
     known.until = now + known.length;
 }
 
 void group_choice::answered(const instance_name& peer)
 {
-    m_passed_over.erase(peer);
+    m_backoffs.erase(peer);
 }
 
 } // namespace flaxtiller
--- a/src/routing/route_sizes.cpp
+++ b/src/routing/route_sizes.cpp
@@ -10,40 +10,40 @@
 {
 
 /// Some hundreds of parts count: seconds at a few fan-outs a second.
-constexpr double newest_weight = 0.005;
-constexpr double least_ms = 0.01;
+constexpr double newest_sample_weight = 0.005;
+constexpr double min_latency_ms = 0.01;
 
 } // namespace
 
-void route_sizes::usual_latency::note(double latest_log_ms)
+void route_latencies::latency_average::note(double latest_log_ms)
 {
     ++parts;
-    const double weight = std::max(newest_weight, 1.0 / static_cast<double>(parts));
+    const double weight = std::max(newest_sample_weight, 1.0 / static_cast<double>(parts));
     log_ms += (latest_log_ms - log_ms) * weight;
 }
 
-void route_sizes::note(const std::string& route, std::uint64_t list, duration latency)
+void route_latencies::note(const std::string& route, std::uint64_t list, duration latency)
 {
-    if (m_routes.size() >= most_kept || m_lists.size() >= most_kept)
+    if (m_routes.size() >= max_tracked_routes || m_lists.size() >= max_tracked_routes)
     {
         m_routes.clear();
         m_lists.clear();
     }
-    const double log_ms = std::log(std::max(latency.ms(), least_ms));
+    const double log_ms = std::log(std::max(latency.ms(), min_latency_ms));
     m_routes[{list, route}].note(log_ms);
     m_lists[list].note(log_ms);
 }
 
-double route_sizes::size_of(const std::string& route, std::uint64_t list) const
+double route_latencies::relative_latency(const std::string& route, std::uint64_t list) const
 {
     const auto known = m_routes.find({list, route});
     const auto usual = m_lists.find(list);
-    if (known == m_routes.end() || usual == m_lists.end() || known->second.parts < enough_parts)
+    if (known == m_routes.end() || usual == m_lists.end() || known->second.parts < min_samples)
     {
         return 1.0;
     }
     const double factor = std::exp(known->second.log_ms - usual->second.log_ms);
-    return std::clamp(factor, 1.0 / most_factor, most_factor);
+    return std::clamp(factor, 1.0 / max_factor, max_factor);
 }
 
 } // namespace flaxtiller
--- a/src/routing/routed_json.cpp
+++ b/src/routing/routed_json.cpp
@@ -28,9 +28,9 @@
 void to_json(nlohmann::json& j, const routed_request& value)
 {
     j = nlohmann::json::array({value.id, value.method, value.host, value.target, value.headers, value.body,
-                               value.patience.us(), value.asked_list, value.asked_shards, value.designated,
-                               value.answer_within.us(), value.progress_within.us(), value.asked_again,
-                               value.asked_regions, value.team});
+                               value.patience.us(), value.delegated_list, value.delegated_shards, value.designated,
+                               value.answer_within.us(), value.progress_within.us(), value.is_repeated_delegation,
+                               value.delegated_regions, value.team});
 }
 
 void from_json(const nlohmann::json& j, routed_request& value)
@@ -47,13 +47,13 @@
     value.headers = next().get<header_list>();
     value.body = next().get<std::string>();
     value.patience = duration::from_us(next().get<std::int64_t>());
-    value.asked_list = next().get<std::uint64_t>();
-    value.asked_shards = next().get<std::vector<std::size_t>>();
+    value.delegated_list = next().get<std::uint64_t>();
+    value.delegated_shards = next().get<std::vector<std::size_t>>();
     value.designated = next().get<std::vector<backend_server_name>>();
     value.answer_within = duration::from_us(next().get<std::int64_t>());
     value.progress_within = duration::from_us(next().get<std::int64_t>());
-    value.asked_again = next().get<bool>();
-    value.asked_regions = next().get<region_set>();
+    value.is_repeated_delegation = next().get<bool>();
+    value.delegated_regions = next().get<region_set>();
     value.team = next().get<team_name>();
 }
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -10,15 +10,15 @@
 {
 
 /// Connections are shared by the owners and a few more, whose view differs for a moment.
-constexpr int spare_sharers = 2;
+constexpr int extra_sharers = 2;
 /// While it isn't known how many instances there are, each takes one connection and a small part of the
 /// allowance.
-constexpr int unknown_sharers = 1000;
-constexpr double unknown_allowance = 0.01;
+constexpr int sharers_if_unknown = 1000;
+constexpr double budget_share_if_unknown = 0.01;
 /// Half of the slack may be spent at once, and half comes with time: no window sees more than all of it.
-constexpr double at_once = 0.5;
+constexpr double burst_share = 0.5;
 /// With fewer parts all may well be on backend servers that are slow just now.
-constexpr std::size_t enough_to_compare = 4;
+constexpr std::size_t min_parts_to_compare = 4;
 
 } // namespace
 
@@ -35,16 +35,16 @@
 // configuration
 // ---------------------------------------------------------------------------------------------------------
 
-router::lane_index router::lane_of(const service_name& service)
+router::scheduler_index router::scheduler_index_of(const service_name& service)
 {
-    const auto known = m_lane_of.find(service);
-    if (known != m_lane_of.end())
+    const auto known = m_scheduler_indexes.find(service);
+    if (known != m_scheduler_indexes.end())
     {
         return known->second;
     }
-    const lane_index at = m_next_lane++;
-    m_lane_of.emplace(service, at);
-    m_lanes.emplace(at, lane{service, dispatch::scheduler(m_options.scheduling)});
+    const scheduler_index at = m_next_lane++;
+    m_scheduler_indexes.emplace(service, at);
+    m_service_schedulers.emplace(at, service_scheduler{service, dispatch::scheduler(m_options.scheduling)});
     return at;
 }
 
@@ -71,9 +71,9 @@
     limit_cold_servers(*cold_before, now);
     for (const auto& [name, placed] : m_view.placed->services)
     {
-        configure_lane(lane_of(name), placed, places_changed, now);
+        configure_scheduler(scheduler_index_of(name), placed, places_changed, now);
     }
-    drop_undeclared_lanes(now);
+    drop_undeclared_services(now);
 }
 
 void router::limit_cold_servers(const cold_servers& before, time_point now)
@@ -103,24 +103,24 @@
     const dispatch::warmup_bound bound{placed->second->definition.warmup_requests_per_s,
                                        m_options.warmup_overage, m_options.warmup_slack};
     const shard_plan::sender own = m_groups.plan().rank_of(cold.service, name.str());
-    const lane_index at = lane_of(cold.service);
-    m_lanes.at(at).scheduler.limit_cold(name, cold.until,
+    const scheduler_index at = scheduler_index_of(cold.service);
+    m_service_schedulers.at(at).scheduler.limit_cold(name, cold.until,
                                         dispatch::warmup_share_of(bound, own.senders, own.rank), now);
     collect(at, now);
 }
 
 /// Only what changed is told: a scheduler that takes over its backend servers copies all of them.
-void router::configure_lane(lane_index at, const shared_value<placed_service>& placed, bool places_changed,
+void router::configure_scheduler(scheduler_index at, const shared_value<placed_service>& placed, bool places_changed,
                             time_point now)
 {
-    lane& item = m_lanes.at(at);
-    const double slack = m_options.retry_slack * m_options.retry_share * allowance_of(item.service);
+    service_scheduler& item = m_service_schedulers.at(at);
+    const double slack = m_options.retry_slack * m_options.retry_share * retry_budget_share_of(item.service);
     if (slack != item.slack)
     {
         item.slack = slack;
-        item.scheduler.limit_budget(slack * at_once, slack * (1.0 - at_once) / m_options.retry_window.ms());
+        item.scheduler.limit_budget(slack * burst_share, slack * (1.0 - burst_share) / m_options.retry_window.ms());
     }
-    const int sharers = sharers_of(item.service);
+    const int sharers = connection_sharers_of(item.service);
     if (!places_changed && sharers == item.sharers && placed.is_same(item.placed))
     {
         return;
@@ -129,68 +129,68 @@
     item.sharers = sharers;
     item.scheduler.set_places(m_view.region_of_zone, m_view.region);
     item.scheduler.configure(*placed, sharers, now);
-    ++m_lanes_configured;
+    ++m_schedulers_configured;
     collect(at, now);
 }
 
-std::set<instance_name> router::owners_asked() const
+std::set<instance_name> router::owners_to_link() const
 {
-    return m_groups.plan().first_owners();
+    return m_groups.plan().linked_owners();
 }
 
-int router::sharers_of(const service_name& service) const
+int router::connection_sharers_of(const service_name& service) const
 {
     const shard_plan& plan = m_groups.plan();
     if (!plan.is_owned(service))
     {
-        return m_view.entries > 0 ? m_view.entries : unknown_sharers;
+        return m_view.entries > 0 ? m_view.entries : sharers_if_unknown;
     }
-    return static_cast<int>(plan.owners_of(service)) + spare_sharers;
+    return static_cast<int>(plan.owners_of(service)) + extra_sharers;
 }
 
 /// This instance's share of what operators allow beyond the first attempts over all instances.
-double router::allowance_of(const service_name& service) const
+double router::retry_budget_share_of(const service_name& service) const
 {
     const shard_plan& plan = m_groups.plan();
     if (!plan.is_owned(service))
     {
-        return m_view.entries > 0 ? 1.0 / m_view.entries : unknown_allowance;
+        return m_view.entries > 0 ? 1.0 / m_view.entries : budget_share_if_unknown;
     }
     if (plan.owns(service))
     {
-        return m_options.owners_share / static_cast<double>(plan.owners_of(service));
+        return m_options.owner_budget_share / static_cast<double>(plan.owners_of(service));
     }
-    return (1.0 - m_options.owners_share) / m_view.entries;
+    return (1.0 - m_options.owner_budget_share) / m_view.entries;
 }
 
 /// Services that aren't declared any more keep what is under way and get nothing new.
-void router::drop_undeclared_lanes(time_point now)
+void router::drop_undeclared_services(time_point now)
 {
-    if (m_lanes.size() == m_view.placed->services.size())
+    if (m_service_schedulers.size() == m_view.placed->services.size())
     {
         return;
     }
     // One object for all time, so that a lane that ends slowly is told only once.
     static const shared_value<placed_service> none(placed_service{{}, {{}}});
-    for (auto at = m_lanes.begin(); at != m_lanes.end();)
+    for (auto at = m_service_schedulers.begin(); at != m_service_schedulers.end();)
     {
         const auto current = at++;
-        lane& item = current->second;
+        service_scheduler& item = current->second;
         if (m_view.placed->services.count(item.service) > 0)
         {
             continue;
         }
-        configure_lane(current->first, none, false, now);
+        configure_scheduler(current->first, none, false, now);
         if (item.scheduler.is_idle())
         {
             m_due.erase({item.due, current->first});
-            m_lane_of.erase(item.service);
-            m_lanes.erase(current);
+            m_scheduler_indexes.erase(item.service);
+            m_service_schedulers.erase(current);
         }
     }
 }
 
-void router::note_due(lane_index at, lane& item)
+void router::note_due(scheduler_index at, service_scheduler& item)
 {
     const time_point due = item.scheduler.next_time();
     if (due == item.due)
@@ -207,35 +207,35 @@
 
 void router::detach(const part& asked)
 {
-    lane& item = m_lanes.at(asked.at);
+    service_scheduler& item = m_service_schedulers.at(asked.at);
     item.scheduler.detach(asked.subquery);
     note_due(asked.at, item);
 }
 
-void router::run_here(request_number number, const std::vector<std::size_t>& wanted, bool again,
+void router::run_locally(request_number number, const std::vector<std::size_t>& wanted, bool again,
                       time_point now)
 {
     open_request& opened = m_open.at(number);
-    const double size = m_sizes.size_of(opened.by->name, opened.list);
-    if (wanted.size() >= enough_to_compare)
+    const double size = m_route_latencies.relative_latency(opened.by->name, opened.list);
+    if (wanted.size() >= min_parts_to_compare)
     {
         opened.progress = std::make_shared<dispatch::fan_out_progress>();
     }
-    std::vector<lane_index> lanes;
+    std::vector<scheduler_index> affected_schedulers;
     for (const std::size_t at : wanted)
     {
         part& item = opened.parts[at];
-        item.at = lane_of(item.service);
+        item.at = scheduler_index_of(item.service);
         item.subquery = m_next_subquery++;
         m_origins.emplace(item.subquery, origin{number, at});
-        lanes.push_back(item.at);
+        affected_schedulers.push_back(item.at);
     }
     for (const std::size_t at : wanted)
     {
         submit(opened, opened.parts[at], size, again, now);
     }
     // Collected only after all are submitted: an early end of one part must not answer before.
-    for (const lane_index at : lanes)
+    for (const scheduler_index at : affected_schedulers)
     {
         collect(at, now);
     }
@@ -246,7 +246,7 @@
 {
     m_timers.erase({opened.timer_at, number});
     opened.timer_at = std::min({opened.past_objective ? opened.deadline : opened.answer_at,
-                                opened.progress_at, opened.group_late_at, opened.deadline});
+                                opened.progress_at, opened.group_check_at, opened.deadline});
     m_timers.emplace(opened.timer_at, number);
 }
 
@@ -266,7 +266,7 @@
     m_started.erase(found);
     if (ended.by->fans_out() && result.status == dispatch::attempt_status::answered)
     {
-        m_sizes.note(ended.by->name, ended.list, now - ended.since);
+        m_route_latencies.note(ended.by->name, ended.list, now - ended.since);
     }
     m_number_of.erase({ended.at, ended.attempt});
     end_trial(ended.subquery, now);
@@ -288,19 +288,19 @@
             opened.progress->any_answered = true;
         }
     }
-    const auto at = m_lanes.find(ended.at);
-    if (at != m_lanes.end())
+    const auto at = m_service_schedulers.find(ended.at);
+    if (at != m_service_schedulers.end())
     {
         at->second.scheduler.on_result(ended.attempt, result, now);
         collect(ended.at, now);
     }
     settle_held(now);
-    tell_crashes(now);
+    publish_crash_changes(now);
 }
 
-void router::collect(lane_index at, time_point now)
+void router::collect(scheduler_index at, time_point now)
 {
-    lane& item = m_lanes.at(at);
+    service_scheduler& item = m_service_schedulers.at(at);
     dispatch::scheduler& scheduler = item.scheduler;
     for (auto todo = scheduler.take_actions(); !todo.empty(); todo = scheduler.take_actions())
     {
@@ -323,7 +323,7 @@
     note_due(at, item);
 }
 
-void router::take(lane_index at, const dispatch::start_attempt& action, time_point now)
+void router::take(scheduler_index at, const dispatch::start_attempt& action, time_point now)
 {
     const routed_attempt_number number = m_next_attempt++;
     const origin& whose = m_origins.at(action.subquery);
@@ -334,12 +334,12 @@
     m_number_of.emplace(std::pair(at, action.attempt), number);
     ++opened.attempts;
     const int ordinal = ++opened.parts[whose.part].attempts;
-    m_actions.emplace_back(start_routed_attempt{number, whose.request, action.server, m_lanes.at(at).service,
+    m_actions.emplace_back(start_routed_attempt{number, whose.request, action.server, m_service_schedulers.at(at).service,
                                                 opened.by->fans_out(), ordinal, opened.by->repeatable,
                                                 on_trial, opened.deadline, opened.request});
 }
 
-void router::take(lane_index at, const dispatch::cancel_attempt& action)
+void router::take(scheduler_index at, const dispatch::cancel_attempt& action)
 {
     const auto found = m_number_of.find({at, action.attempt});
     if (found != m_number_of.end())
@@ -348,7 +348,7 @@
     }
 }
 
-void router::take(lane_index, const dispatch::finish_subquery& action, time_point now)
+void router::take(scheduler_index, const dispatch::finish_subquery& action, time_point now)
 {
     const auto found = m_origins.find(action.subquery);
     if (found == m_origins.end())
@@ -384,8 +384,8 @@
 {
     while (!m_due.empty() && m_due.begin()->first <= now)
     {
-        const lane_index at = m_due.begin()->second;
-        m_lanes.at(at).scheduler.on_time(now);
+        const scheduler_index at = m_due.begin()->second;
+        m_service_schedulers.at(at).scheduler.on_time(now);
         collect(at, now);
     }
     while (!m_timers.empty() && m_timers.begin()->first <= now)
@@ -401,7 +401,7 @@
 {
     open_request& opened = m_open.at(number);
     opened.past_objective = opened.past_objective || now >= opened.answer_at;
-    if (opened.past_objective && opened.by->fans_out() && enough_in(opened) && !opened.request->is_asked())
+    if (opened.past_objective && opened.by->fans_out() && enough_in(opened) && !opened.request->is_delegated())
     {
         merge(number, opened);
         return;
@@ -415,28 +415,28 @@
     {
         // Told twice: that it is being run, and what is in when the asker's objective is near.
         opened.progress_at = now < opened.answer_at ? opened.answer_at : time_point::never();
-        tell_progress(number, opened, now);
+        send_progress(number, opened, now);
     }
-    const bool groups_late = now >= opened.group_late_at;
+    const bool groups_late = now >= opened.group_check_at;
     if (groups_late)
     {
         // Looked at twice: when the first word was due, and past the objective.
-        const time_point second_look = opened.answer_at + m_options.elsewhere_grace;
-        opened.group_late_at = now < opened.answer_at ? second_look : time_point::never();
+        const time_point second_look = opened.answer_at + m_options.silence_recheck_delay;
+        opened.group_check_at = now < opened.answer_at ? second_look : time_point::never();
     }
     set_timer(number, opened);
     if (groups_late)
     {
-        move_silent_groups(number, now);
+        reassign_silent_groups(number, now);
     }
 }
 
 time_point router::next_time() const noexcept
 {
     const time_point request_due = m_timers.empty() ? time_point::never() : m_timers.begin()->first;
-    const time_point lane_due = m_due.empty() ? time_point::never() : m_due.begin()->first;
+    const time_point scheduler_due = m_due.empty() ? time_point::never() : m_due.begin()->first;
     const time_point trial_due = m_held.empty() || m_trial ? time_point::never() : m_next_trial_at;
-    return std::min({request_due, lane_due, trial_due});
+    return std::min({request_due, scheduler_due, trial_due});
 }
 
 std::vector<router_action> router::take_actions()
@@ -451,8 +451,8 @@
 
 const dispatch::scheduler* router::scheduler_of(const service_name& service) const
 {
-    const auto found = m_lane_of.find(service);
-    return found == m_lane_of.end() ? nullptr : &m_lanes.at(found->second).scheduler;
+    const auto found = m_scheduler_indexes.find(service);
+    return found == m_scheduler_indexes.end() ? nullptr : &m_service_schedulers.at(found->second).scheduler;
 }
 
 } // namespace flaxtiller
--- a/src/routing/router_admission.cpp
+++ b/src/routing/router_admission.cpp
@@ -13,7 +13,7 @@
     routed_outcome told;
     told.end = routed_end::refused;
     told.reason = reason;
-    told.retry_after = std::max(m_options.least_retry, retry_after);
+    told.retry_after = std::max(m_options.min_retry_after, retry_after);
     told.route = by == nullptr ? std::string() : by->name;
     told.revision = m_view.placed ? m_view.placed->revision : 0;
     m_actions.emplace_back(answer_request{number, std::move(told)});
@@ -75,11 +75,11 @@
         add(m_targets.next(by), 0);
         return parts;
     }
-    if (request.is_asked())
+    if (request.is_delegated())
     {
-        for (std::size_t i = 0; i < request.asked_shards.size(); ++i)
+        for (std::size_t i = 0; i < request.delegated_shards.size(); ++i)
         {
-            const std::size_t shard = request.asked_shards[i];
+            const std::size_t shard = request.delegated_shards[i];
             add(by.fan_out.at(shard), shard);
             parts.back().designated =
                 i < request.designated.size() ? request.designated[i] : backend_server_name();
@@ -96,7 +96,7 @@
 /// How long a fan-out may wait for parts that are missing.
 duration router::time_to_answer(const route& by, const routed_request& request) const
 {
-    if (request.is_asked())
+    if (request.is_delegated())
     {
         return request.answer_within;
     }
@@ -104,13 +104,13 @@
     {
         return by.timeout;
     }
-    return std::max(by.objective * m_options.objective_share - m_options.way_back, duration{});
+    return std::max(by.objective * m_options.objective_share - m_options.response_margin, duration{});
 }
 
 /// Both the asker's route and this entry's bind: they may be of different revisions.
 std::shared_ptr<const region_set> router::regions_of(const route& by, const routed_request& request)
 {
-    region_set allowed = by.allowed_regions.both(request.asked_regions);
+    region_set allowed = by.allowed_regions.both(request.delegated_regions);
     return allowed.is_any() ? nullptr : std::make_shared<const region_set>(std::move(allowed));
 }
 
@@ -135,7 +135,7 @@
 /// @return whether another entry passed the request on to a region where it may not run
 bool router::is_outside(const routed_request& request, const std::shared_ptr<const region_set>& regions) const
 {
-    return request.is_asked() && regions && !regions->allows(m_view.region);
+    return request.is_delegated() && regions && !regions->allows(m_view.region);
 }
 
 void router::arrive(request_number number, std::shared_ptr<const routed_request> request, time_point now)
@@ -160,8 +160,8 @@
     {
         return shard >= by->fan_out.size();
     };
-    const bool other_list = request->is_asked() && request->asked_list != list;
-    if (other_list || std::any_of(request->asked_shards.begin(), request->asked_shards.end(), unknown))
+    const bool other_list = request->is_delegated() && request->delegated_list != list;
+    if (other_list || std::any_of(request->delegated_shards.begin(), request->delegated_shards.end(), unknown))
     {
         refuse(number, by.get(), missing_reason::wrong_version);
         return;
@@ -172,12 +172,12 @@
         refuse(number, by.get(), missing_reason::no_allowed_region);
         return;
     }
-    if (m_open.size() >= m_options.most_requests)
+    if (m_open.size() >= m_options.max_open_requests)
     {
         refuse(number, by.get(), missing_reason::overloaded);
         return;
     }
-    if (by->fans_out() && !request->is_asked() && refuse_unservable(number, *by, regions, now))
+    if (by->fans_out() && !request->is_delegated() && refuse_unservable(number, *by, regions, now))
     {
         return;
     }
@@ -201,18 +201,18 @@
     opened.list = list;
     opened.revision = m_view.placed->revision;
     opened.arrived_at = now;
-    const duration patience = std::max(request->patience - m_options.way_back, duration{});
+    const duration patience = std::max(request->patience - m_options.response_margin, duration{});
     opened.deadline = now + std::min(patience, by->timeout);
     opened.answer_at = std::min(now + time_to_answer(*by, *request), opened.deadline);
     opened.request = std::move(request);
-    if (opened.request->is_asked() && opened.request->progress_within > duration{})
+    if (opened.request->is_delegated() && opened.request->progress_within > duration{})
     {
         opened.progress_at = now + opened.request->progress_within;
     }
     opened.parts = parts_of(*by, *opened.request);
     if (!opened.held)
     {
-        ask_elsewhere(number, opened, now);
+        delegate_groups(number, opened, now);
     }
     set_timer(number, opened);
     std::vector<bool> here(opened.parts.size(), true);
@@ -235,7 +235,7 @@
     {
         m_held.insert(number);
     }
-    run_here(number, wanted, opened.request->asked_again, now);
+    run_locally(number, wanted, opened.request->is_repeated_delegation, now);
     settle_held(now);
 }
 
--- a/src/routing/router_answers.cpp
+++ b/src/routing/router_answers.cpp
@@ -13,7 +13,7 @@
 /// What another entry asked for is of use to it whatever its share.
 double router::least_share_of(const open_request& opened) const
 {
-    return opened.request->is_asked() ? 0.0 : opened.by->least_share;
+    return opened.request->is_delegated() ? 0.0 : opened.by->least_share;
 }
 
 bool router::enough_in(const open_request& opened) const
@@ -54,15 +54,15 @@
     const auto all = static_cast<int>(opened.parts.size());
     const bool complete = opened.in + opened.missing == all;
     // An entry that asked has what was in at its objective; what comes later may still be of use to it.
-    const bool may_stop = opened.past_objective && !opened.request->is_asked();
+    const bool may_stop = opened.past_objective && !opened.request->is_delegated();
     if (enough_in(opened) && (complete || may_stop))
     {
         merge(number, opened);
         return;
     }
     const auto most_in = static_cast<double>(all - opened.missing);
-    const bool hopeless = most_in < least_share_of(opened) * static_cast<double>(all) || most_in == 0.0;
-    if (hopeless || complete)
+    const bool is_share_unreachable = most_in < least_share_of(opened) * static_cast<double>(all) || most_in == 0.0;
+    if (is_share_unreachable || complete)
     {
         fail(number, opened, now >= opened.deadline);
     }
@@ -107,7 +107,7 @@
             bodies.emplace_back(asked.outcome.merged);
             told.signatures.insert(told.signatures.end(), asked.outcome.signatures.begin(),
                                    asked.outcome.signatures.end());
-            told.elsewhere.push_back(asked.answered_by);
+            told.delegates.push_back(asked.answered_by);
         }
     }
     // Not the length of the list of missing ones: what is named as in must be true whatever other entries say
@@ -118,7 +118,7 @@
 }
 
 /// The entry that asked sees by this that its request is being run, and has the parts if the rest comes late.
-void router::tell_progress(request_number number, open_request& opened, time_point now)
+void router::send_progress(request_number number, open_request& opened, time_point now)
 {
     routed_outcome told = merged_so_far(opened);
     const bool first = opened.progress_at != time_point::never();
@@ -134,7 +134,7 @@
     {
         asked.told = asked.is_in();
     }
-    m_actions.emplace_back(tell_progress_to_entry{number, std::move(told)});
+    m_actions.emplace_back(send_partial_outcome{number, std::move(told)});
 }
 
 void router::end_at_deadline(request_number number, open_request& opened)
@@ -180,7 +180,7 @@
     {
         told.end = late ? routed_end::late : routed_end::failed;
     }
-    told.retry_after = std::max(opened.retry_after, m_options.least_retry);
+    told.retry_after = std::max(opened.retry_after, m_options.min_retry_after);
     finish(number, opened, std::move(told));
 }
 
@@ -231,10 +231,10 @@
         outcome.missing_services.push_back(opened.by->fan_out.at(shard));
     }
     outcome.reason = opened.reason;
-    abandon_asks(opened, false);
+    abandon_delegations(opened, false);
     m_timers.erase({opened.timer_at, number});
     detach_parts(opened);
-    if (opened.request->is_asked())
+    if (opened.request->is_delegated())
     {
         // The entry that asked may ask another one else, and doesn't know yet.
         outcome.crashes = std::move(opened.crashes);
--- a/src/routing/router_groups.cpp
+++ b/src/routing/router_groups.cpp
@@ -15,31 +15,31 @@
 // asking
 // ---------------------------------------------------------------------------------------------------------
 
-void router::ask_elsewhere(request_number number, open_request& opened, time_point now)
+void router::delegate_groups(request_number number, open_request& opened, time_point now)
 {
-    if (!opened.by->fans_out() || opened.request->is_asked())
+    if (!opened.by->fans_out() || opened.request->is_delegated())
     {
         return;
     }
     const auto chosen_groups = m_groups.groups_of(*opened.by, now);
-    opened.designates = !chosen_groups.empty() && !may_run_twice(opened);
+    opened.designates = !chosen_groups.empty() && !fits_attempt_limit(opened);
     for (const group_choice::group& chosen : chosen_groups)
     {
         group& wanted = opened.groups.emplace_back();
         wanted.parts = chosen.shards;
-        ask_one(number, opened, wanted, chosen.peer, false, now);
+        delegate_group(number, opened, wanted, chosen.peer, false, now);
     }
 }
 
-void router::ask_one(request_number number, open_request& opened, group& wanted, const instance_name& peer,
+void router::delegate_group(request_number number, open_request& opened, group& wanted, const instance_name& peer,
                      bool again, time_point now)
 {
-    ask_entry sent;
-    sent.number = m_next_ask++;
+    delegate_shards sent;
+    sent.number = m_next_delegation++;
     sent.peer = peer;
     sent.list = opened.list;
     sent.patience = opened.deadline - now;
-    const duration way = way_to(peer);
+    const duration way = round_trip_to(peer);
     sent.answer_within = std::max(opened.answer_at - now - way, duration::from_ms(1));
     sent.progress_within = sent.answer_within * m_options.progress_share;
     sent.again = again;
@@ -58,8 +58,8 @@
     }
     sent.designated = wanted.designated;
     const time_point word_due = now + sent.progress_within + way + m_options.progress_grace;
-    opened.group_late_at = std::min(opened.group_late_at, word_due);
-    m_asks.emplace(sent.number, number);
+    opened.group_check_at = std::min(opened.group_check_at, word_due);
+    m_delegations.emplace(sent.number, number);
     ask& begun = wanted.asks.emplace_back();
     begun.number = sent.number;
     begun.peer = peer;
@@ -67,19 +67,19 @@
     m_actions.emplace_back(std::move(sent));
 }
 
-duration router::way_to(const instance_name& peer) const
+duration router::round_trip_to(const instance_name& peer) const
 {
     const auto listed = m_peers.find(peer);
     const std::string& where = listed == m_peers.end() ? m_view.region : listed->second.region;
-    const auto known = m_ways.find(where);
-    if (known != m_ways.end())
+    const auto known = m_round_trips.find(where);
+    if (known != m_round_trips.end())
     {
         return known->second;
     }
-    return where == m_view.region ? m_options.first_way_near : m_options.first_way_far;
+    return where == m_view.region ? m_options.initial_round_trip_near : m_options.initial_round_trip_far;
 }
 
-void router::note_way(const instance_name& peer, duration way)
+void router::record_round_trip(const instance_name& peer, duration way)
 {
     // A few answers suffice, and one that was held up doesn't count for much.
     constexpr double weight = 0.2;
@@ -88,7 +88,7 @@
     {
         return;
     }
-    const auto known = m_ways.emplace(listed->second.region, way).first;
+    const auto known = m_round_trips.emplace(listed->second.region, way).first;
     known->second = known->second + (way - known->second) * weight;
 }
 
@@ -97,7 +97,7 @@
 // ---------------------------------------------------------------------------------------------------------
 
 /// Whether running it here as well can't bring any shard to more backend servers than the route allows.
-bool router::may_run_twice(const open_request& opened) const
+bool router::fits_attempt_limit(const open_request& opened) const
 {
     return std::all_of(opened.parts.begin(), opened.parts.end(),
                        [&](const part& item)
@@ -142,7 +142,7 @@
     return chosen;
 }
 
-bool router::can_pay_again(const open_request& opened, const group& wanted) const
+bool router::group_has_retry_budget(const open_request& opened, const group& wanted) const
 {
     return std::all_of(wanted.parts.begin(), wanted.parts.end(),
                        [&](std::size_t at)
@@ -153,11 +153,11 @@
 }
 
 /// @return whether it could be run here
-bool router::run_group_here(request_number number, group& lost, bool again, time_point now)
+bool router::run_group_locally(request_number number, group& lost, bool again, time_point now)
 {
     open_request& opened = m_open.at(number);
     const bool owned = m_groups.plan().is_owned(opened.parts[lost.parts.front()].service);
-    const bool may_again = !owned && can_pay_again(opened, lost);
+    const bool may_again = !owned && group_has_retry_budget(opened, lost);
     if ((again && !may_again) || !lost.outcome.signatures.empty())
     {
         return false;
@@ -165,23 +165,23 @@
     lost.over = true;
     for (const ask& sent : lost.asks)
     {
-        m_asks.erase(sent.number);
+        m_delegations.erase(sent.number);
     }
     const std::vector<std::size_t> wanted = lost.parts;
     for (std::size_t i = 0; again && i < lost.designated.size(); ++i)
     {
         opened.parts[wanted[i]].designated = lost.designated[i];
     }
-    run_here(number, wanted, again, now);
+    run_locally(number, wanted, again, now);
     return true;
 }
 
 /// Has a group run by another entry, or here.
 /// @return whether there is anyone to run it
-bool router::move_group(request_number number, group& lost, bool again, time_point now)
+bool router::reassign_group(request_number number, group& lost, bool again, time_point now)
 {
     open_request& opened = m_open.at(number);
-    if (is_barred(opened, now))
+    if (is_held_or_quarantined(opened, now))
     {
         return false;
     }
@@ -193,13 +193,13 @@
     const auto next = m_groups.another(*opened.by, lost.parts.front(), lost.asks.back().peer, now);
     if (!next || *next == m_view.self)
     {
-        return run_group_here(number, lost, again, now);
+        return run_group_locally(number, lost, again, now);
     }
-    ask_one(number, opened, lost, *next, again, now);
+    delegate_group(number, opened, lost, *next, again, now);
     return true;
 }
 
-void router::move_silent_groups(request_number number, time_point now)
+void router::reassign_silent_groups(request_number number, time_point now)
 {
     const std::size_t count = m_open.at(number).groups.size();
     for (std::size_t i = 0; i < count; ++i)
@@ -214,12 +214,12 @@
         {
             m_groups.failed(asked.asks.back().peer, now);
             // Where nobody can, its answer may still come until the deadline.
-            (void)move_group(number, asked, true, now);
+            (void)reassign_group(number, asked, true, now);
         }
     }
 }
 
-void router::entry_lost(const instance_name& peer, time_point now)
+void router::on_entry_disconnected(const instance_name& peer, time_point now)
 {
     m_groups.failed(peer, now);
     std::vector<std::pair<request_number, std::size_t>> hit;
@@ -234,7 +234,7 @@
                 {
                     // A word of it may be lost, so that a later one doesn't tell all any more.
                     sent.over = true;
-                    m_asks.erase(sent.number);
+                    m_delegations.erase(sent.number);
                 }
             }
             if (!asked.over && !asked.is_awaited())
@@ -248,15 +248,15 @@
         const auto found = m_open.find(number);
         if (found != m_open.end() && !found->second.groups[at].over)
         {
-            replace_ask(number, found->second.groups[at], true, now);
+            replace_delegation(number, found->second.groups[at], true, now);
         }
     }
 }
 
 /// The last entry that was asked won't answer any more. Where it told some parts already, these are kept.
-void router::replace_ask(request_number number, group& asked, bool again, time_point now)
+void router::replace_delegation(request_number number, group& asked, bool again, time_point now)
 {
-    if (asked.outcome.signatures.empty() && move_group(number, asked, again, now))
+    if (asked.outcome.signatures.empty() && reassign_group(number, asked, again, now))
     {
         return;
     }
@@ -296,19 +296,19 @@
     }
 }
 
-void router::entry_answered(const instance_name& peer, ask_number number, const routed_outcome& outcome,
+void router::on_delegation_outcome(const instance_name& peer, delegation_number number, const routed_outcome& outcome,
                             time_point now)
 {
-    take_in(outcome.crashes, now);
+    merge_crash_records(outcome.crashes, now);
     take_answer(peer, number, outcome, now);
     settle_held(now);
 }
 
-void router::take_answer(const instance_name& peer, ask_number number, const routed_outcome& outcome,
+void router::take_answer(const instance_name& peer, delegation_number number, const routed_outcome& outcome,
                          time_point now)
 {
-    const auto known = m_asks.find(number);
-    if (known == m_asks.end())
+    const auto known = m_delegations.find(number);
+    if (known == m_delegations.end())
     {
         return;
     }
@@ -329,14 +329,14 @@
     opened.may_have_run = opened.may_have_run || outcome.attempts > 0;
     if (sent.over)
     {
-        m_asks.erase(known);
+        m_delegations.erase(known);
     }
     if (outcome.end != routed_end::merged)
     {
-        drop_ask(request, *asked, sent, outcome, now);
+        on_delegation_failed(request, *asked, sent, outcome, now);
         return;
     }
-    note_way(peer, now - sent.sent_at - outcome.took);
+    record_round_trip(peer, now - sent.sent_at - outcome.took);
     m_groups.answered(peer);
     take_outcome(opened, *asked, sent, outcome);
     if (sent.over)
@@ -351,7 +351,7 @@
 }
 
 /// An entry failed what it was asked.
-void router::drop_ask(request_number number, group& asked, const ask& failed, const routed_outcome& outcome,
+void router::on_delegation_failed(request_number number, group& asked, const ask& failed, const routed_outcome& outcome,
                       time_point now)
 {
     m_groups.failed(failed.peer, now);
@@ -362,7 +362,7 @@
     const bool first = asked.asks.size() == 1;
     if (!asked.is_awaited())
     {
-        replace_ask(number, asked, !(not_run && first), now);
+        replace_delegation(number, asked, !(not_run && first), now);
     }
 }
 
@@ -383,18 +383,18 @@
     asked.size = size;
     asked.held = opened.held;
     asked.fan_out = opened.progress;
-    m_lanes.at(wanted.at).scheduler.submit(asked, now);
+    m_service_schedulers.at(wanted.at).scheduler.submit(asked, now);
 }
 
-void router::abandon_asks(const open_request& opened, bool stops)
+void router::abandon_delegations(const open_request& opened, bool stops)
 {
     for (const group& asked : opened.groups)
     {
         for (const ask& sent : asked.asks)
         {
-            if (m_asks.erase(sent.number) > 0)
+            if (m_delegations.erase(sent.number) > 0)
             {
-                m_actions.emplace_back(abandon_at_entry{sent.number, sent.peer, stops});
+                m_actions.emplace_back(abandon_delegation{sent.number, sent.peer, stops});
             }
         }
     }
@@ -435,13 +435,13 @@
     m_timers.erase({opened.timer_at, number});
     m_open.erase(found);
     forget_held(number);
-    abandon_asks(opened, true);
+    abandon_delegations(opened, true);
     for (const part& asked : opened.parts)
     {
         m_origins.erase(asked.subquery);
         if (!asked.over && asked.subquery != 0)
         {
-            m_lanes.at(asked.at).scheduler.abandon(asked.subquery, now);
+            m_service_schedulers.at(asked.at).scheduler.abandon(asked.subquery, now);
             collect(asked.at, now);
         }
     }
--- a/src/routing/router_suspects.cpp
+++ b/src/routing/router_suspects.cpp
@@ -31,8 +31,8 @@
 
 std::int64_t router::born_ms_of(const started& attempt) const
 {
-    const auto at = m_lanes.find(attempt.at);
-    if (at == m_lanes.end())
+    const auto at = m_service_schedulers.find(attempt.at);
+    if (at == m_service_schedulers.end())
     {
         return 0;
     }
@@ -85,7 +85,7 @@
     }
 }
 
-void router::take_in(const std::vector<crash_record>& records, time_point now)
+void router::merge_crash_records(const std::vector<crash_record>& records, time_point now)
 {
     for (const crash_record& told : records)
     {
@@ -99,18 +99,18 @@
 
 void router::on_crash_records(const std::vector<crash_record>& records, time_point now)
 {
-    take_in(records, now);
+    merge_crash_records(records, now);
     // Who told it tells the others, too.
     (void)m_crashes.take_changes(now);
     settle_held(now);
 }
 
-void router::tell_crashes(time_point now)
+void router::publish_crash_changes(time_point now)
 {
     std::vector<crash_record> changes = m_crashes.take_changes(now);
     if (!changes.empty())
     {
-        m_actions.emplace_back(tell_crash_records{std::move(changes)});
+        m_actions.emplace_back(publish_crash_records{std::move(changes)});
     }
 }
 
@@ -167,7 +167,7 @@
     {
         if (!item.over && item.subquery != 0)
         {
-            lane& runs = m_lanes.at(item.at);
+            service_scheduler& runs = m_service_schedulers.at(item.at);
             runs.scheduler.hold(item.subquery);
             note_due(item.at, runs);
         }
@@ -178,17 +178,17 @@
 {
     opened.held = false;
     forget_held(number);
-    std::vector<lane_index> lanes;
+    std::vector<scheduler_index> affected_schedulers;
     for (const part& item : opened.parts)
     {
         if (!item.over && item.subquery != 0)
         {
-            m_lanes.at(item.at).scheduler.release(item.subquery, now);
-            lanes.push_back(item.at);
+            m_service_schedulers.at(item.at).scheduler.release(item.subquery, now);
+            affected_schedulers.push_back(item.at);
         }
     }
     // Collected only after all are released: an early end of one part must not answer before.
-    for (const lane_index at : lanes)
+    for (const scheduler_index at : affected_schedulers)
     {
         collect(at, now);
     }
@@ -237,7 +237,7 @@
                                   [&](const part& item)
                                   {
                                       return !item.over && item.subquery != 0 &&
-                                             !m_lanes.at(item.at).scheduler.is_held_back(item.subquery);
+                                             !m_service_schedulers.at(item.at).scheduler.is_held_back(item.subquery);
                                   });
 }
 
@@ -300,7 +300,7 @@
 bool router::can_be_tried(const part& item, const std::shared_ptr<const region_set>& regions,
                           time_point now) const
 {
-    const dispatch::scheduler& scheduler = m_lanes.at(item.at).scheduler;
+    const dispatch::scheduler& scheduler = m_service_schedulers.at(item.at).scheduler;
     duration retry_after{};
     return scheduler.is_held_back(item.subquery) &&
            scheduler.why_unavailable(0, regions, now, retry_after) == missing_reason::none;
@@ -315,8 +315,8 @@
         if (!item.over && item.subquery != 0 && can_be_tried(item, opened.regions, now))
         {
             m_trial = trial{number, item.subquery};
-            const lane_index at = item.at;
-            m_lanes.at(at).scheduler.try_once(item.subquery, now);
+            const scheduler_index at = item.at;
+            m_service_schedulers.at(at).scheduler.try_once(item.subquery, now);
             collect(at, now);
             return true;
         }
@@ -325,7 +325,7 @@
 }
 
 /// @return whether none of it may be sent to further backend servers now, here or by another entry
-bool router::is_barred(open_request& opened, time_point now) const
+bool router::is_held_or_quarantined(open_request& opened, time_point now) const
 {
     return standing_of(opened, now) != standing::clear;
 }
--- a/src/routing/shard_cover.cpp
+++ b/src/routing/shard_cover.cpp
@@ -10,10 +10,10 @@
 {
 
 /// The place that holds most shards; the first one of these.
-std::size_t fullest(const std::vector<place_set>& places, std::size_t count)
+std::size_t largest_location(const std::vector<location_set>& places, std::size_t count)
 {
     std::vector<std::size_t> shards(count, 0);
-    for (const place_set set : places)
+    for (const location_set set : places)
     {
         for (std::size_t place = 0; set != 0 && place < count; ++place)
         {
@@ -23,7 +23,7 @@
     return static_cast<std::size_t>(std::max_element(shards.begin(), shards.end()) - shards.begin());
 }
 
-std::vector<std::size_t> take_shards(std::vector<place_set>& places, std::size_t place)
+std::vector<std::size_t> take_shards(std::vector<location_set>& places, std::size_t place)
 {
     std::vector<std::size_t> taken;
     for (std::size_t shard = 0; shard < places.size(); ++shard)
@@ -39,7 +39,7 @@
 
 } // namespace
 
-std::vector<std::vector<std::size_t>> cover(std::vector<place_set> places, std::size_t count,
+std::vector<std::vector<std::size_t>> cover(std::vector<location_set> places, std::size_t count,
                                             std::size_t first)
 {
     std::vector<std::vector<std::size_t>> chosen(count);
@@ -49,7 +49,7 @@
     }
     for (std::size_t turn = 0; turn < count; ++turn)
     {
-        const std::size_t place = fullest(places, count);
+        const std::size_t place = largest_location(places, count);
         std::vector<std::size_t> taken = take_shards(places, place);
         if (taken.empty())
         {
--- a/src/routing/shard_cover.hpp
+++ b/src/routing/shard_cover.hpp
@@ -13,7 +13,7 @@
 /// @param count the number of places
 /// @param first a place, or one beyond the last for none
 /// @return shards by place
-std::vector<std::vector<std::size_t>> cover(std::vector<place_set> places, std::size_t count,
+std::vector<std::vector<std::size_t>> cover(std::vector<location_set> places, std::size_t count,
                                             std::size_t first);
 
 } // namespace flaxtiller::detail
--- a/src/routing/shard_plan.cpp
+++ b/src/routing/shard_plan.cpp
@@ -22,8 +22,8 @@
 
 void shard_plan::update(const routing_view& view)
 {
-    const bool entries_changed = note_entries(view);
-    note_services(view);
+    const bool entries_changed = update_entries(view);
+    update_services(view);
     std::map<list_key, list_plan> before = std::exchange(m_lists, {});
     bool changed = false;
     for (const auto& by : view.routes->fan_outs())
@@ -48,7 +48,7 @@
 }
 
 /// @return whether the availability zones or their regions changed
-bool shard_plan::note_places(const routing_view& view)
+bool shard_plan::update_zones(const routing_view& view)
 {
     if (view.region_of_zone.is_same(m_region_of_zone))
     {
@@ -75,9 +75,9 @@
 }
 
 /// @return whether entries came or went, or the number of those that share the backend servers changed
-bool shard_plan::note_entries(const routing_view& view)
+bool shard_plan::update_entries(const routing_view& view)
 {
-    const bool places_changed = note_places(view);
+    const bool places_changed = update_zones(view);
     const bool same = !places_changed && view.peers.is_same(m_peers) && view.self == m_self &&
                       view.zone == m_zone_name && view.region == m_region_name &&
                       view.entries == m_entry_count;
@@ -91,12 +91,12 @@
     m_region_name = view.region;
     m_entry_count = view.entries;
     m_rankings.clear();
-    list_entries();
+    index_entries();
     return true;
 }
 
 /// Sorts all entries, this one too, by where they are.
-void shard_plan::list_entries()
+void shard_plan::index_entries()
 {
     m_names.clear();
     for (availability_zone& item : m_zones)
@@ -116,12 +116,12 @@
         m_own_index = item.name == m_self ? index : m_own_index;
         m_names.push_back(item.name);
         const std::size_t zone = zone_index(item.availability_zone);
-        if (zone != nowhere)
+        if (zone != no_index)
         {
             m_zones[zone].entries.push_back(index);
         }
         const std::size_t at = region_index(item.region);
-        if (at != nowhere)
+        if (at != no_index)
         {
             m_regions[at].entries.push_back(index);
         }
@@ -135,7 +135,7 @@
                                  {
                                      return item.name == name;
                                  });
-    return at == m_regions.end() ? nowhere : static_cast<std::size_t>(at - m_regions.begin());
+    return at == m_regions.end() ? no_index : static_cast<std::size_t>(at - m_regions.begin());
 }
 
 std::size_t shard_plan::zone_index(const std::string& name) const
@@ -146,17 +146,17 @@
                                          return item.name < wanted;
                                      });
     const bool found = at != m_zones.end() && at->name == name;
-    return found ? static_cast<std::size_t>(at - m_zones.begin()) : nowhere;
+    return found ? static_cast<std::size_t>(at - m_zones.begin()) : no_index;
 }
 
-void shard_plan::note_services(const routing_view& view)
+void shard_plan::update_services(const routing_view& view)
 {
     for (const auto& [name, placed] : view.placed->services)
     {
         const auto [known, fresh] = m_services.try_emplace(name);
         if (fresh || !known->second.seen.is_same(placed))
         {
-            note_service(placed, known->second);
+            update_service(placed, known->second);
         }
     }
     if (m_services.size() > view.placed->services.size())
@@ -169,7 +169,7 @@
     }
 }
 
-void shard_plan::note_service(const shared_value<placed_service>& placed, service_places& into) const
+void shard_plan::update_service(const shared_value<placed_service>& placed, service_locations& into) const
 {
     into = {};
     into.seen = placed;
@@ -205,7 +205,7 @@
     list_plan list;
     list.owned = is_owned(by.fan_out);
     list.zones.reserve(by.fan_out.size());
-    const place_set allowed = zones_in(by.allowed_regions);
+    const location_set allowed = zones_in(by.allowed_regions);
     for (const service_name& service : by.fan_out)
     {
         const auto known = m_services.find(service);
@@ -214,9 +214,9 @@
     return list;
 }
 
-shard_plan::place_set shard_plan::zones_in(const region_set& regions) const
+shard_plan::location_set shard_plan::zones_in(const region_set& regions) const
 {
-    place_set zones = 0;
+    location_set zones = 0;
     for (std::size_t zone = 0; zone < m_zones.size(); ++zone)
     {
         zones |= regions.allows(m_regions[m_zones[zone].region].name) ? only(zone) : 0;
@@ -253,8 +253,8 @@
     {
         std::sort(all.begin(), all.end());
         all.erase(std::unique(all.begin(), all.end()), all.end());
-        const bool mine = std::binary_search(all.begin(), all.end(), m_own_index);
-        m_owners.emplace(service, ownership{std::move(all), mine});
+        const bool includes_self = std::binary_search(all.begin(), all.end(), m_own_index);
+        m_owners.emplace(service, ownership{std::move(all), includes_self});
     }
 }
 
@@ -289,23 +289,23 @@
 bool shard_plan::owns(const service_name& service) const
 {
     const auto found = m_owners.find(service);
-    return found != m_owners.end() && found->second.mine;
+    return found != m_owners.end() && found->second.includes_self;
 }
 
-shard_plan::sender shard_plan::rank_among(const std::vector<entry_index>& senders,
+shard_plan::sender shard_plan::rank_among_senders(const std::vector<entry_index>& senders,
                                           const std::string& key) const
 {
-    const auto place_of = [&](entry_index item)
+    const auto rank_key_of = [&](entry_index item)
     {
         return std::pair(hash64(key + '/' + m_names[item].str()), item);
     };
-    const auto own = place_of(m_own_index);
+    const auto own = rank_key_of(m_own_index);
     bool among = false;
     std::size_t before = 0;
     for (const entry_index item : senders)
     {
         among = among || item == m_own_index;
-        before += place_of(item) < own ? 1 : 0;
+        before += rank_key_of(item) < own ? 1 : 0;
     }
     return {senders.size(), among ? before : senders.size()};
 }
@@ -321,25 +321,25 @@
     const auto owned = m_owners.find(service);
     if (owned != m_owners.end())
     {
-        return rank_among(owned->second.owners, key);
+        return rank_among_senders(owned->second.owners, key);
     }
     std::vector<entry_index> all(m_names.size());
     std::iota(all.begin(), all.end(), 0U);
-    sender own = rank_among(all, key);
+    sender own = rank_among_senders(all, key);
     own.senders = std::max(own.senders, static_cast<std::size_t>(m_entry_count));
     return own;
 }
 
-std::set<instance_name> shard_plan::first_owners() const
+std::set<instance_name> shard_plan::linked_owners() const
 {
     std::set<instance_name> names;
     for (const auto& [key, list] : m_lists)
     {
         for (const group& item : list.groups)
         {
-            for (std::size_t i = 0; !item.in_turn && i < std::min(counting_owners, item.runners.size()); ++i)
+            for (std::size_t i = 0; !item.is_round_robin && i < std::min(budgeted_owners, item.runner_candidates.size()); ++i)
             {
-                names.insert(item.runners[i]);
+                names.insert(item.runner_candidates[i]);
             }
         }
     }
--- a/src/routing/shard_plan_groups.cpp
+++ b/src/routing/shard_plan_groups.cpp
@@ -21,7 +21,7 @@
 {
 
 /// Rankings kept: four bytes an entry of the zone each, so 0.4 MB at 50 of them.
-constexpr std::size_t most_rankings = 2048;
+constexpr std::size_t max_rankings = 2048;
 
 /// Shards go into as many groups as there are shards in each: the sum of what the asker and an owner send is
 /// least then.
@@ -31,7 +31,7 @@
 }
 
 /// @return a number of groups that a shard more or less seldom changes
-std::size_t steady_count(std::size_t groups)
+std::size_t damped_group_count(std::size_t groups)
 {
     constexpr std::size_t exact_up_to = 4;
     return groups <= exact_up_to ? groups : groups + groups % 2;
@@ -54,11 +54,11 @@
         const std::vector<planned_group> groups = plan_from(by, into, zone, m_zones[zone].region);
         for (const planned_group& item : groups)
         {
-            const auto counting = static_cast<std::ptrdiff_t>(std::min(counting_owners, item.runners.size()));
+            const auto counting = static_cast<std::ptrdiff_t>(std::min(budgeted_owners, item.runner_candidates.size()));
             for (const std::size_t shard : item.shards)
             {
                 std::vector<entry_index>& owners = into.owners[shard];
-                owners.insert(owners.end(), item.runners.begin(), item.runners.begin() + counting);
+                owners.insert(owners.end(), item.runner_candidates.begin(), item.runner_candidates.begin() + counting);
             }
         }
         if (zone == own_zone)
@@ -66,19 +66,19 @@
             own = groups;
         }
     }
-    if (own_zone == nowhere)
+    if (own_zone == no_index)
     {
-        own = plan_from(by, into, nowhere, region_index(m_region_name));
+        own = plan_from(by, into, no_index, region_index(m_region_name));
     }
     for (const planned_group& item : own)
     {
-        into.groups.push_back(named(item));
+        into.groups.push_back(to_group(item));
     }
 }
 
-shard_plan::place_set shard_plan::regions_of(place_set zones) const
+shard_plan::location_set shard_plan::regions_of(location_set zones) const
 {
-    place_set regions = 0;
+    location_set regions = 0;
     for (std::size_t zone = 0; zone < m_zones.size(); ++zone)
     {
         regions |= holds(zones, zone) ? only(m_zones[zone].region) : 0;
@@ -90,13 +90,13 @@
 std::vector<shard_plan::planned_group> shard_plan::plan_from(const route& by, const list_plan& list,
                                                              std::size_t zone, std::size_t own_region)
 {
-    place_set near = 0;
+    location_set near = 0;
     for (std::size_t other = 0; other < m_zones.size(); ++other)
     {
         near |= m_zones[other].region == own_region ? only(other) : 0;
     }
-    std::vector<place_set> near_zones(list.zones.size());
-    std::vector<place_set> far_zones(list.zones.size());
+    std::vector<location_set> near_zones(list.zones.size());
+    std::vector<location_set> far_zones(list.zones.size());
     std::vector<std::size_t> far;
     for (std::size_t shard = 0; shard < list.zones.size(); ++shard)
     {
@@ -122,7 +122,7 @@
     // connections and know the latencies.
     const std::string region_name =
         own_region < m_regions.size() ? m_regions[own_region].name : m_region_name;
-    const auto far_cover = cover(far_zones, m_zones.size(), nowhere);
+    const auto far_cover = cover(far_zones, m_zones.size(), no_index);
     for (std::size_t at = 0; at < far_cover.size(); ++at)
     {
         add_owned_groups(by, at, far_cover[at], region_name + '/', groups);
@@ -134,15 +134,15 @@
 void shard_plan::add_far_groups(const list_plan& list, const std::vector<std::size_t>& far,
                                 std::vector<planned_group>& into) const
 {
-    std::vector<place_set> regions(list.zones.size());
+    std::vector<location_set> regions(list.zones.size());
     for (const std::size_t shard : far)
     {
         regions[shard] = regions_of(list.zones[shard]);
     }
-    const auto by_region = cover(regions, m_regions.size(), nowhere);
+    const auto by_region = cover(regions, m_regions.size(), no_index);
     for (std::size_t at = 0; at < by_region.size(); ++at)
     {
-        if (by_region[at].size() >= least_group && !m_regions[at].entries.empty())
+        if (by_region[at].size() >= min_group_size && !m_regions[at].entries.empty())
         {
             into.push_back({by_region[at], m_regions[at].entries, true});
         }
@@ -163,7 +163,7 @@
     // are.
     const std::size_t all = by.fan_out.size();
     const std::size_t size = group_size(all);
-    const std::size_t groups = steady_count((shards.size() + size - 1) / size);
+    const std::size_t groups = damped_group_count((shards.size() + size - 1) / size);
     const std::size_t most = (groups + entries.size() - 1) / entries.size();
     std::unordered_map<entry_index, std::size_t> load;
     std::size_t next = 0;
@@ -176,19 +176,19 @@
         {
             item.shards.push_back(shards[next++]);
         }
-        item.runners = ranked(salt + m_zones[zone].name + '/' + by.fan_out[first].str(), entries);
+        item.runner_candidates = rank_entries(salt + m_zones[zone].name + '/' + by.fan_out[first].str(), entries);
         // None owns more groups than its share.
-        const auto owner = std::find_if(item.runners.begin(), item.runners.end(),
+        const auto owner = std::find_if(item.runner_candidates.begin(), item.runner_candidates.end(),
                                         [&](entry_index name)
                                         {
                                             return load[name] < most;
                                         });
-        if (owner != item.runners.end())
+        if (owner != item.runner_candidates.end())
         {
             ++load[*owner];
-            std::rotate(item.runners.begin(), owner, owner + 1);
+            std::rotate(item.runner_candidates.begin(), owner, owner + 1);
         }
-        item.runners.resize(std::min(item.runners.size(), most_owners));
+        item.runner_candidates.resize(std::min(item.runner_candidates.size(), max_owners));
         if (!item.shards.empty())
         {
             into.push_back(std::move(item));
@@ -197,7 +197,7 @@
 }
 
 /// @return entries in the order of rendezvous hashing
-std::vector<shard_plan::entry_index> shard_plan::ranked(const std::string& key,
+std::vector<shard_plan::entry_index> shard_plan::rank_entries(const std::string& key,
                                                         const std::vector<entry_index>& entries)
 {
     const auto known = m_rankings.find(key);
@@ -218,7 +218,7 @@
     {
         order.push_back(item);
     }
-    if (m_rankings.size() >= most_rankings)
+    if (m_rankings.size() >= max_rankings)
     {
         m_rankings.clear();
     }
@@ -226,14 +226,14 @@
     return order;
 }
 
-shard_plan::group shard_plan::named(const planned_group& item) const
+shard_plan::group shard_plan::to_group(const planned_group& item) const
 {
     group result;
     result.shards = item.shards;
-    result.in_turn = item.in_turn;
-    for (const entry_index runner : item.runners)
+    result.is_round_robin = item.is_round_robin;
+    for (const entry_index runner : item.runner_candidates)
     {
-        result.runners.push_back(m_names[runner]);
+        result.runner_candidates.push_back(m_names[runner]);
     }
     return result;
 }
--- a/src/shell/link_message.hpp
+++ b/src/shell/link_message.hpp
@@ -133,21 +133,21 @@
 /// @brief Shards of a fan-out that the receiver shall run, with the sender's number for it.
 struct routed_ask
 {
-    ask_number number = 0;
+    delegation_number number = 0;
     routed_request request;
 };
 
 /// @brief What came of that.
 struct routed_return
 {
-    ask_number number = 0;
+    delegation_number number = 0;
     routed_outcome outcome;
 };
 
 /// @brief Nobody waits for that any more.
 struct routed_abandon
 {
-    ask_number number = 0;
+    delegation_number number = 0;
     /// Whether what runs is stopped, too.
     bool stops = false;
 };
--- a/src/shell/routed_front.cpp
+++ b/src/shell/routed_front.cpp
@@ -98,7 +98,7 @@
                       m_admission.configure(view);
                       m_router.configure(view, m_clock.now());
                       configure_pools(*view.placed);
-                      m_owners(m_router.owners_asked());
+                      m_owners(m_router.owners_to_link());
                       carry_out();
                   });
 }
@@ -107,7 +107,7 @@
 {
     for (const auto& [name, service] : placed.services)
     {
-        const int sharers = m_router.sharers_of(name);
+        const int sharers = m_router.connection_sharers_of(name);
         const auto [known, fresh] = m_pooled.try_emplace(name);
         pooled_service& before = known->second;
         if (!fresh && before.sharers == sharers && before.placed.is_same(service))
--- a/src/shell/routed_front.hpp
+++ b/src/shell/routed_front.hpp
@@ -98,7 +98,7 @@
         time_point arrived;
         /// The entry that asks on its caller's behalf; empty for a caller of this one's own.
         std::string asked_by;
-        ask_number asked_number = 0;
+        delegation_number asked_number = 0;
     };
 
     struct pool_bounds
@@ -121,19 +121,19 @@
     void arrive_from_caller(request_number number, routed_request request, const std::string& key,
                             caller from);
     void carry(const admit_request& action);
-    void carry(const turn_away_request& action);
-    void carry(const report_use& action);
-    void log_over_limit(const turn_away_request& action) const;
+    void carry(const reject_request& action);
+    void carry(const send_limit_report& action);
+    void log_over_limit(const reject_request& action) const;
     void on_gone(request_number number);
     void on_no_longer_awaited(request_number number);
     void carry_out();
-    void carry(const ask_entry& action);
-    void carry(const abandon_at_entry& action);
+    void carry(const delegate_shards& action);
+    void carry(const abandon_delegation& action);
     void carry(const start_routed_attempt& action);
     void carry(const cancel_routed_attempt& action);
     void carry(const answer_request& action);
-    void carry(const tell_progress_to_entry& action);
-    void carry(const tell_crash_records& action);
+    void carry(const send_partial_outcome& action);
+    void carry(const publish_crash_records& action);
     void carry(const note_standing& action);
     void on_reply(const start_routed_attempt& sent, time_point sent_at, http_exchange_result reply);
     void on_time();
@@ -167,7 +167,7 @@
     std::unordered_map<backend_server_name, pool_bounds> m_servers;
     std::unordered_map<request_number, caller> m_callers;
     /// Requests that other entries asked for, by their name and number.
-    std::map<std::pair<std::string, ask_number>, request_number> m_asked;
+    std::map<std::pair<std::string, delegation_number>, request_number> m_asked;
     std::unordered_map<routed_attempt_number, std::shared_ptr<connection_pool>> m_attempts;
     http_server m_server;
 };
--- a/src/shell/routed_front_actions.cpp
+++ b/src/shell/routed_front_actions.cpp
@@ -150,7 +150,7 @@
     }
 }
 
-void routed_front::carry(const turn_away_request& action)
+void routed_front::carry(const reject_request& action)
 {
     if (action.over_limit)
     {
@@ -159,7 +159,7 @@
     carry(answer_request{action.request, action.outcome});
 }
 
-void routed_front::log_over_limit(const turn_away_request& action) const
+void routed_front::log_over_limit(const reject_request& action) const
 {
     const auto from = m_callers.find(action.request);
     const rate_limiter::decision& made = *action.over_limit;
@@ -172,7 +172,7 @@
          {"retry_after_ms", made.retry_after.ms()}});
 }
 
-void routed_front::carry(const report_use& action)
+void routed_front::carry(const send_limit_report& action)
 {
     if (!m_limit_keeper.empty())
     {
@@ -275,7 +275,7 @@
     from.respond(outcome);
 }
 
-void routed_front::carry(const tell_progress_to_entry& action)
+void routed_front::carry(const send_partial_outcome& action)
 {
     const auto found = m_callers.find(action.request);
     if (found != m_callers.end())
@@ -284,7 +284,7 @@
     }
 }
 
-void routed_front::carry(const tell_crash_records& action)
+void routed_front::carry(const publish_crash_records& action)
 {
     m_crashes(crash_news{action.records});
 }
@@ -325,7 +325,7 @@
          {"missing_services", joined(outcome.missing_services)},
          {"reason", nlohmann::json(outcome.reason).get<std::string>()},
          {"fingerprint", outcome.crashes.empty() ? std::string() : outcome.crashes.front().request.str()},
-         {"elsewhere", joined(outcome.elsewhere)},
+         {"elsewhere", joined(outcome.delegates)},
          {"attempts", outcome.attempts},
          {"retry_after_ms", outcome.retry_after.ms()},
          {"revision", outcome.revision},
--- a/src/shell/routed_front_entries.cpp
+++ b/src/shell/routed_front_entries.cpp
@@ -41,7 +41,7 @@
     net::dispatch(m_strand,
                   [this, from, returned]
                   {
-                      m_router.entry_answered(instance_name(from), returned->number, returned->outcome,
+                      m_router.on_delegation_outcome(instance_name(from), returned->number, returned->outcome,
                                               m_clock.now());
                       carry_out();
                   });
@@ -138,12 +138,12 @@
     net::dispatch(m_strand,
                   [this, name]
                   {
-                      m_router.entry_lost(instance_name(name), m_clock.now());
+                      m_router.on_entry_disconnected(instance_name(name), m_clock.now());
                       carry_out();
                   });
 }
 
-void routed_front::carry(const ask_entry& action)
+void routed_front::carry(const delegate_shards& action)
 {
     if (action.again)
     {
@@ -155,17 +155,17 @@
     }
     routed_ask asked{action.number, *action.sent};
     asked.request.patience = action.patience;
-    asked.request.asked_list = action.list;
-    asked.request.asked_shards = action.shards;
+    asked.request.delegated_list = action.list;
+    asked.request.delegated_shards = action.shards;
     asked.request.designated = action.designated;
     asked.request.answer_within = action.answer_within;
     asked.request.progress_within = action.progress_within;
-    asked.request.asked_again = action.again;
-    asked.request.asked_regions = action.regions;
+    asked.request.is_repeated_delegation = action.again;
+    asked.request.delegated_regions = action.regions;
     m_send(action.peer.str(), asked);
 }
 
-void routed_front::carry(const abandon_at_entry& action)
+void routed_front::carry(const abandon_delegation& action)
 {
     m_send(action.peer.str(), routed_abandon{action.number, action.stops});
 }
--- a/src/shell/settings.cpp
+++ b/src/shell/settings.cpp
@@ -177,9 +177,9 @@
 void read_routing(json_reader& reader, router_options& into)
 {
     reader.number("objective_share", into.objective_share, 0.0, 1.0);
-    read_ms(reader, "way_back_ms", into.way_back, 0.0, hour_ms);
-    reader.number("requests", into.most_requests, std::size_t{1}, std::size_t{1} << 30U);
-    read_ms(reader, "least_retry_ms", into.least_retry, 0.0, hour_ms);
+    read_ms(reader, "way_back_ms", into.response_margin, 0.0, hour_ms);
+    reader.number("requests", into.max_open_requests, std::size_t{1}, std::size_t{1} << 30U);
+    read_ms(reader, "least_retry_ms", into.min_retry_after, 0.0, hour_ms);
     read_ms(reader, "registration_retry_ms", into.registration_retry, 0.0, hour_ms);
     reader.number("retry_ratio", into.retry_ratio, 0.0, 10.0);
     reader.number("retry_slack", into.retry_slack, 0.0, 1e6);
@@ -282,10 +282,10 @@
                              "must be an object of strings");
         return;
     }
-    if (zones->size() > shard_plan::most_places)
+    if (zones->size() > shard_plan::max_locations)
     {
         reader.found().error(errc::out_of_range, reader.at("availability_zones"),
-                             "must be at most " + std::to_string(shard_plan::most_places));
+                             "must be at most " + std::to_string(shard_plan::max_locations));
         return;
     }
     into = zones->get<std::map<std::string, std::string>>();
--- a/tests/src/router_driver.hpp
+++ b/tests/src/router_driver.hpp
@@ -102,15 +102,15 @@
         request->host = "h";
         request->target = target;
         request->patience = duration::from_ms(100);
-        request->asked_list = list_id(fan_out_over(4, 0.0).fan_out) + (same_shards ? 0 : 2);
-        request->asked_shards = {1, 2};
+        request->delegated_list = list_id(fan_out_over(4, 0.0).fan_out) + (same_shards ? 0 : 2);
+        request->delegated_shards = {1, 2};
         for (const std::string& name : designated)
         {
             request->designated.emplace_back(name);
         }
         request->answer_within = duration::from_ms(50);
         request->progress_within = duration::from_ms(20);
-        request->asked_again = again;
+        request->is_repeated_delegation = again;
         const request_number number = ++m_number;
         m_router.arrive(number, request, now);
         take();
@@ -201,7 +201,7 @@
     }
 
     /// @param told how many of the last parts were told before
-    void returned(const ask_entry& asked, routed_end end, std::size_t missing = 0, std::size_t told = 0)
+    void returned(const delegate_shards& asked, routed_end end, std::size_t missing = 0, std::size_t told = 0)
     {
         routed_outcome outcome;
         outcome.end = end;
@@ -212,20 +212,20 @@
             outcome.signatures.push_back("by-s" + std::to_string(asked.shards[i]));
             outcome.merged += std::string(record_bytes, static_cast<char>('z' - i));
         }
-        m_router.entry_answered(asked.peer, asked.number, outcome, now);
+        m_router.on_delegation_outcome(asked.peer, asked.number, outcome, now);
         take();
     }
 
-    void failed_by_crashes(const ask_entry& asked, const crash_record& record)
+    void failed_by_crashes(const delegate_shards& asked, const crash_record& record)
     {
         routed_outcome outcome;
         outcome.end = routed_end::failed;
         outcome.crashes = {record};
-        m_router.entry_answered(asked.peer, asked.number, outcome, now);
+        m_router.on_delegation_outcome(asked.peer, asked.number, outcome, now);
         take();
     }
 
-    void told_progress(const ask_entry& asked, std::size_t missing)
+    void told_progress(const delegate_shards& asked, std::size_t missing)
     {
         routed_outcome outcome;
         outcome.end = routed_end::merged;
@@ -236,13 +236,13 @@
         {
             outcome.signatures.push_back("by-s" + std::to_string(asked.shards[i]));
         }
-        m_router.entry_answered(asked.peer, asked.number, outcome, now);
+        m_router.on_delegation_outcome(asked.peer, asked.number, outcome, now);
         take();
     }
 
     void lose(const instance_name& peer)
     {
-        m_router.entry_lost(peer, now);
+        m_router.on_entry_disconnected(peer, now);
         take();
     }
 
@@ -256,8 +256,8 @@
     time_point now{duration::from_ms(1000)};
     std::vector<start_routed_attempt> started;
     std::vector<routed_attempt_number> cancelled;
-    std::vector<ask_entry> sent_away;
-    std::vector<abandon_at_entry> abandoned;
+    std::vector<delegate_shards> sent_away;
+    std::vector<abandon_delegation> abandoned;
     std::map<request_number, routed_outcome> progress;
     std::map<request_number, routed_outcome> answers;
     /// What was told to the control replicas.
@@ -276,19 +276,19 @@
             {
                 cancelled.push_back(cancel->attempt);
             }
-            else if (const auto* ask = std::get_if<ask_entry>(&action))
+            else if (const auto* ask = std::get_if<delegate_shards>(&action))
             {
                 sent_away.push_back(*ask);
             }
-            else if (const auto* abandon = std::get_if<abandon_at_entry>(&action))
+            else if (const auto* abandon = std::get_if<abandon_delegation>(&action))
             {
                 abandoned.push_back(*abandon);
             }
-            else if (const auto* so_far = std::get_if<tell_progress_to_entry>(&action))
+            else if (const auto* so_far = std::get_if<send_partial_outcome>(&action))
             {
                 progress[so_far->request] = so_far->outcome;
             }
-            else if (const auto* crashed = std::get_if<tell_crash_records>(&action))
+            else if (const auto* crashed = std::get_if<publish_crash_records>(&action))
             {
                 crashes.insert(crashes.end(), crashed->records.begin(), crashed->records.end());
             }
--- a/tests/src/unit-allowed-regions.cpp
+++ b/tests/src/unit-allowed-regions.cpp
@@ -299,7 +299,7 @@
         {
             if (name != lost->first)
             {
-                item.decides.entry_lost(lost->first, m_now);
+                item.decides.on_entry_disconnected(lost->first, m_now);
                 take(name);
             }
         }
@@ -399,7 +399,7 @@
              });
     }
 
-    void carry(const instance_name& at, const tell_crash_records& action)
+    void carry(const instance_name& at, const publish_crash_records& action)
     {
         for (const auto& item : m_entries)
         {
@@ -419,7 +419,7 @@
     {
     }
 
-    void carry(const instance_name& at, const ask_entry& action)
+    void carry(const instance_name& at, const delegate_shards& action)
     {
         ++m_asks;
         const entry_peer& peer = m_entries.at(action.peer).where;
@@ -430,13 +430,13 @@
         }
         auto asked = std::make_shared<routed_request>(*action.sent);
         asked->patience = action.patience;
-        asked->asked_list = action.list;
-        asked->asked_shards = action.shards;
+        asked->delegated_list = action.list;
+        asked->delegated_shards = action.shards;
         asked->designated = action.designated;
         asked->answer_within = action.answer_within;
         asked->progress_within = action.progress_within;
-        asked->asked_again = action.again;
-        asked->asked_regions = action.regions;
+        asked->is_repeated_delegation = action.again;
+        asked->delegated_regions = action.regions;
         send(duration::from_ms(drawn(1, 20)),
              [this, at, to = action.peer, number = action.number, asked]
              {
@@ -458,7 +458,7 @@
         send(duration::from_ms(drawn(1, 20)),
              [this, at, back = asker->second, outcome]
              {
-                 m_entries.at(back.first).decides.entry_answered(at, back.second, outcome, m_now);
+                 m_entries.at(back.first).decides.on_delegation_outcome(at, back.second, outcome, m_now);
                  take(back.first);
              });
     }
@@ -468,7 +468,7 @@
         reply(at, action.request, action.outcome);
     }
 
-    void carry(const instance_name& at, const tell_progress_to_entry& action)
+    void carry(const instance_name& at, const send_partial_outcome& action)
     {
         reply(at, action.request, action.outcome);
     }
@@ -477,7 +477,7 @@
     {
     }
 
-    void carry(const instance_name&, const abandon_at_entry&)
+    void carry(const instance_name&, const abandon_delegation&)
     {
     }
 
@@ -492,7 +492,7 @@
     placement m_placed;
     std::set<instance_name> m_unreachable;
     std::vector<delivery> m_on_their_way;
-    std::map<std::pair<instance_name, request_number>, std::pair<instance_name, ask_number>> m_asked;
+    std::map<std::pair<instance_name, request_number>, std::pair<instance_name, delegation_number>> m_asked;
     std::map<std::string, region_set> m_allowed;
     request_number m_next_request = 1;
     int m_next_server = 0;
--- a/tests/src/unit-link-message.cpp
+++ b/tests/src/unit-link-message.cpp
@@ -34,11 +34,11 @@
         asked.request.headers = {{"X-A", "1"}, {"X-A", "2"}};
         asked.request.body = std::string("\x00\xff\x80", 3);
         asked.request.patience = duration::from_ms(1.5);
-        asked.request.asked_list = ~std::uint64_t{0};
-        asked.request.asked_shards = {1, 2};
+        asked.request.delegated_list = ~std::uint64_t{0};
+        asked.request.delegated_shards = {1, 2};
         asked.request.designated = {backend_server_name("b1"), backend_server_name("b2")};
         asked.request.progress_within = duration::from_ms(0.25);
-        asked.request.asked_again = true;
+        asked.request.is_repeated_delegation = true;
         asked.request.answer_within = duration::from_ms(0.5);
         const routed_ask got = received(asked);
         CHECK(got.number == 7);
--- a/tests/src/unit-quarantine.cpp
+++ b/tests/src/unit-quarantine.cpp
@@ -71,8 +71,8 @@
     {
         other.id = "r2";
         other.patience = duration::from_ms(7);
-        other.asked_list = 3;
-        other.asked_shards = {1, 2};
+        other.delegated_list = 3;
+        other.delegated_shards = {1, 2};
         other.headers = {{"Accept", "*/*"}};
         CHECK(fingerprint_of(other) == fingerprint_of(first));
     }
--- a/tests/src/unit-router.cpp
+++ b/tests/src/unit-router.cpp
@@ -298,7 +298,7 @@
         }
         driver.pass(16);
         CHECK(driver.answers.at(first).missing == 1);
-        CHECK(driver.answers.at(first).elsewhere.empty());
+        CHECK(driver.answers.at(first).delegates.empty());
     }
     SECTION("isn't run here as long as that entry says that it runs it; the final word brings the rest")
     {
@@ -577,7 +577,7 @@
         router decided{router_options{}};
         const time_point now{duration::from_ms(1000)};
         decided.configure(view, now);
-        REQUIRE(decided.services_configured() == static_cast<std::uint64_t>(services));
+        REQUIRE(decided.schedulers_configured() == static_cast<std::uint64_t>(services));
 
         auto next = std::make_shared<placement>(*placed);
         placed_service changed = *next->services.at(service_name("s7"));
@@ -587,7 +587,7 @@
         next->services[service_name("s7")] = changed;
         view.placed = next;
         decided.configure(view, now);
-        CHECK(decided.services_configured() == static_cast<std::uint64_t>(services) + 1);
+        CHECK(decided.schedulers_configured() == static_cast<std::uint64_t>(services) + 1);
         REQUIRE(decided.scheduler_of(service_name("s7")) != nullptr);
         CHECK(decided.scheduler_of(service_name("s7"))->servers().size() == 1);
     }
--- a/tests/src/unit-shard-plan.cpp
+++ b/tests/src/unit-shard-plan.cpp
@@ -107,7 +107,7 @@
     shard_plan plan(site.view_of("r1-a0"));
     CHECK(plan.groups_of(site.by).empty());
     CHECK_FALSE(plan.is_owned(service_name("s0")));
-    CHECK(plan.first_owners().empty());
+    CHECK(plan.linked_owners().empty());
 }
 
 TEST_CASE("shards have owners where connections don't suffice", "[plan]")
@@ -123,9 +123,9 @@
         for (const auto& item : groups)
         {
             CHECK(item.shards.size() == 9);
-            REQUIRE(item.runners.size() == shard_plan::most_owners);
-            CHECK_FALSE(item.in_turn);
-            for (const instance_name& runner : item.runners)
+            REQUIRE(item.runner_candidates.size() == shard_plan::max_owners);
+            CHECK_FALSE(item.is_round_robin);
+            for (const instance_name& runner : item.runner_candidates)
             {
                 CHECK(runner.str().rfind("r1-a", 0) == 0);
             }
@@ -144,7 +144,7 @@
         std::set<instance_name> owners;
         for (const auto& item : groups)
         {
-            CHECK(owners.insert(item.runners.front()).second);
+            CHECK(owners.insert(item.runner_candidates.front()).second);
         }
     }
     SECTION("another region has owners of its own")
@@ -152,7 +152,7 @@
         shard_plan far(site.view_of("r2-b0"));
         for (const auto& item : far.groups_of(site.by))
         {
-            CHECK(item.runners.front().str().rfind("r2-a", 0) == 0);
+            CHECK(item.runner_candidates.front().str().rfind("r2-a", 0) == 0);
         }
     }
     SECTION("the first two owners of each group know that they are")
@@ -160,15 +160,15 @@
         for (const auto& item : groups)
         {
             const service_name service = site.by.fan_out[item.shards.front()];
-            CHECK(shard_plan(site.view_of(item.runners[0].str())).owns(service));
-            CHECK(shard_plan(site.view_of(item.runners[1].str())).owns(service));
+            CHECK(shard_plan(site.view_of(item.runner_candidates[0].str())).owns(service));
+            CHECK(shard_plan(site.view_of(item.runner_candidates[1].str())).owns(service));
         }
         CHECK_FALSE(plan.owns(service_name("s0")));
     }
     SECTION("one entry less moves few groups")
     {
         routing_view less = site.view_of("r1-b0");
-        const instance_name gone = groups[0].runners[0];
+        const instance_name gone = groups[0].runner_candidates[0];
         std::vector<entry_peer> peers = *less.peers;
         std::erase_if(peers,
                       [&](const entry_peer& item)
@@ -180,7 +180,7 @@
         std::size_t moved = 0;
         for (std::size_t i = 0; i < groups.size(); ++i)
         {
-            moved += next.groups_of(site.by)[i].runners[0] != groups[i].runners[0] ? 1 : 0;
+            moved += next.groups_of(site.by)[i].runner_candidates[0] != groups[i].runner_candidates[0] ? 1 : 0;
         }
         CHECK(moved >= 1);
         CHECK(moved <= 4);
@@ -203,12 +203,12 @@
         const auto far = std::find_if(changed.begin(), changed.end(),
                                       [](const shard_plan::group& item)
                                       {
-                                          return item.runners.front().str().rfind("r1", 0) != 0;
+                                          return item.runner_candidates.front().str().rfind("r1", 0) != 0;
                                       });
         REQUIRE(far != changed.end());
         CHECK(far->shards == std::vector<std::size_t>{3, 4, 5});
         CHECK(shard_plan(view).owners_of(service_name("s3")) > 0);
-        CHECK(next.first_owners().count(far->runners.front()) == 1);
+        CHECK(next.linked_owners().count(far->runner_candidates.front()) == 1);
     }
 }
 
@@ -225,7 +225,7 @@
     {
         choice.failed(first.peer, now);
         CHECK(choice.groups_of(site.by, now).at(0).peer != first.peer);
-        CHECK(choice.groups_of(site.by, now + group_choice::pass_over).at(0).peer == first.peer);
+        CHECK(choice.groups_of(site.by, now + group_choice::backoff).at(0).peer == first.peer);
     }
     SECTION("nor to one that can't be reached")
     {
@@ -270,7 +270,7 @@
 
         // The same view again, links that break, and a second replica in a zone that has one.
         plan.update(view);
-        view.unreachable = std::set<instance_name>{groups[0].runners[0]};
+        view.unreachable = std::set<instance_name>{groups[0].runner_candidates[0]};
         plan.update(view);
         change_first(
             [](std::vector<backend_server>& replicas)
--- a/tests/src/unit-team-limits.cpp
+++ b/tests/src/unit-team-limits.cpp
@@ -264,7 +264,7 @@
     const auto turned_away = [&](const std::string& path, const std::string& key)
     {
         const admission_action action = ask(path, key);
-        const auto* refused = std::get_if<turn_away_request>(&action);
+        const auto* refused = std::get_if<reject_request>(&action);
         return refused != nullptr && refused->outcome.end == routed_end::unauthorized;
     };
     const auto team_of = [&](const std::string& path, const std::string& key)
