--- a/include/flaxtiller/quarantine/crash_ledger.hpp
+++ b/include/flaxtiller/quarantine/crash_ledger.hpp
@@ -32,7 +32,7 @@
     static constexpr std::size_t most_records = 1024;
     static constexpr std::size_t most_crashes_kept = 8;
 
-    enum class standing
+    enum class quarantine_state
     {
         /// It may be run like any other.
         clear,
@@ -58,7 +58,7 @@
         return m_records.empty();
     }
 
-    standing standing_of(const request_fingerprint& request, time_point now) const;
+    quarantine_state quarantine_state_of(const request_fingerprint& request, time_point now) const;
 
     /// @return whether a crash under it is known that no answer outweighs
     bool has_crashed(const request_fingerprint& request, time_point now) const;
@@ -89,7 +89,7 @@
 
     using records = std::map<request_fingerprint, record>;
 
-    static standing standing_of(const record& item) noexcept;
+    static quarantine_state quarantine_state_of(const record& item) noexcept;
     static duration kept_for(const record& item) noexcept;
     static bool is_over(const record& item, time_point now) noexcept;
     static bool add(record& item, const server_crash& crash);
--- a/include/flaxtiller/routing/caller_admission.hpp
+++ b/include/flaxtiller/routing/caller_admission.hpp
@@ -95,7 +95,7 @@
     void admit(request_number number, routed_request request);
     void turn_away(request_number number, routed_end end, const std::string& route,
                    std::optional<rate_limiter::decision> over_limit = std::nullopt);
-    void take(const rate_limiter::decision& made, routed_request request, const std::string& route);
+    void apply(const rate_limiter::decision& made, routed_request request, const std::string& route);
 
     struct held_request
     {
--- a/include/flaxtiller/routing/group_choice.hpp
+++ b/include/flaxtiller/routing/group_choice.hpp
@@ -31,11 +31,11 @@
     void configure(const routing_view& view);
 
     /// @return what other entries shall run of a fan-out by this route; all other shards are run here
-    std::vector<group> groups_of(const route& by, time_point now);
+    std::vector<group> groups_of(const route& matched_route, time_point now);
 
     /// @return whom to ask after @a failed: another entry that may run the shards, or this one's own name if
     /// it is the next; nothing if there is none
-    std::optional<instance_name> another(const route& by, std::size_t first_shard,
+    std::optional<instance_name> next_runner(const route& matched_route, std::size_t first_shard,
                                          const instance_name& failed, time_point now);
 
     /// @brief An entry failed to answer in time.
@@ -64,7 +64,7 @@
     };
 
     std::map<instance_name, failures> m_backoffs;
-    std::size_t m_turn = 0;
+    std::size_t m_next_start = 0;
 };
 
 } // namespace flaxtiller
--- a/include/flaxtiller/routing/router.hpp
+++ b/include/flaxtiller/routing/router.hpp
@@ -119,7 +119,7 @@
     };
 
     /// Whose work a subquery is.
-    struct origin
+    struct subquery_owner
     {
         request_number request = 0;
         /// Position among the request's parts.
@@ -134,28 +134,28 @@
         /// As the entry that asked wants it; see dispatch::subquery::designated.
         backend_server_name designated;
         /// Whether the entry that asked has it already.
-        bool told = false;
+        bool is_reported = false;
         /// Set once it is run here.
-        scheduler_index at = 0;
+        scheduler_index scheduler = 0;
         dispatch::subquery_id subquery = 0;
-        bool over = false;
+        bool is_finished = false;
         int attempts = 0;
         std::shared_ptr<const backend_answer> answer;
 
-        bool is_in() const
+        bool has_succeeded() const
         {
-            return over && answer && answer->status / 100 == 2;
+            return is_finished && answer && answer->status / 100 == 2;
         }
     };
 
     /// What one entry was asked of a group.
-    struct ask
+    struct delegation
     {
         delegation_number number = 0;
         instance_name peer;
         time_point sent_at;
-        bool heard = false;
-        bool over = false;
+        bool has_replied = false;
+        bool is_finished = false;
         /// What it told so far.
         routed_outcome outcome{};
     };
@@ -166,8 +166,8 @@
         std::vector<std::size_t> parts;
         /// Named to every entry that is asked; empty where all replicas may be used anyway.
         std::vector<backend_server_name> designated;
-        std::vector<ask> asks;
-        bool over = false;
+        std::vector<delegation> delegations;
+        bool is_finished = false;
         /// The best that came so far.
         routed_outcome outcome;
         instance_name answered_by;
@@ -175,19 +175,19 @@
         /// @return whether some entry that was asked may still answer
         bool is_awaited() const
         {
-            return std::any_of(asks.begin(), asks.end(),
-                               [](const ask& sent)
+            return std::any_of(delegations.begin(), delegations.end(),
+                               [](const delegation& sent)
                                {
-                                   return !sent.over;
+                                   return !sent.is_finished;
                                });
         }
 
         bool is_silent() const
         {
-            return !over && std::none_of(asks.begin(), asks.end(),
-                                         [](const ask& sent)
+            return !is_finished && std::none_of(delegations.begin(), delegations.end(),
+                                         [](const delegation& sent)
                                          {
-                                             return sent.heard;
+                                             return sent.has_replied;
                                          });
         }
     };
@@ -199,7 +199,7 @@
         /// The identity of its route's list of shards.
         std::uint64_t list = 0;
         std::shared_ptr<const routed_request> request;
-        std::shared_ptr<const route> by;
+        std::shared_ptr<const route> matched_route;
         /// Where it may run; null for anywhere.
         std::shared_ptr<const region_set> regions;
         time_point arrived_at;
@@ -216,13 +216,13 @@
         std::vector<group> groups;
         /// Shared by the parts that are run here; null where these are too few to tell anything.
         std::shared_ptr<dispatch::fan_out_progress> progress{};
-        int in = 0;
+        int succeeded = 0;
         int missing = 0;
         int attempts = 0;
         bool may_have_run = false;
         bool past_objective = false;
         /// Whether backend servers are named to the entries that are asked.
-        bool designates = false;
+        bool designates_servers = false;
         missing_reason reason = missing_reason::none;
         duration retry_after{};
         /// Worked out when it is first needed.
@@ -235,12 +235,12 @@
 
     struct started
     {
-        scheduler_index at = 0;
+        scheduler_index scheduler = 0;
         dispatch::attempt_id attempt = 0;
         dispatch::subquery_id subquery = 0;
         request_number request = 0;
         std::shared_ptr<const routed_request> sent;
-        std::shared_ptr<const route> by;
+        std::shared_ptr<const route> matched_route;
         /// Its list of shards.
         std::uint64_t list = 0;
         backend_server_name server;
@@ -257,28 +257,28 @@
     };
 
     scheduler_index scheduler_index_of(const service_name& service);
-    std::vector<part> parts_of(const route& by, const routed_request& request);
-    void refuse(request_number number, const route* by, missing_reason reason, duration retry_after = {});
-    void refuse_quarantined(request_number number, const route& by, const request_fingerprint& fingerprint,
+    std::vector<part> parts_of(const route& matched_route, const routed_request& request);
+    void refuse(request_number number, const route* matched_route, missing_reason reason, duration retry_after = {});
+    void refuse_quarantined(request_number number, const route& matched_route, const request_fingerprint& fingerprint,
                             time_point now);
-    bool refuse_unservable(request_number number, const route& by,
+    bool refuse_unservable(request_number number, const route& matched_route,
                            const std::shared_ptr<const region_set>& regions, time_point now);
-    static std::shared_ptr<const region_set> regions_of(const route& by, const routed_request& request);
-    std::shared_ptr<const route> route_for(const team_name& name, std::shared_ptr<const route> by);
+    static std::shared_ptr<const region_set> regions_of(const route& matched_route, const routed_request& request);
+    std::shared_ptr<const route> route_for(const team_name& name, std::shared_ptr<const route> matched_route);
     bool is_outside(const routed_request& request, const std::shared_ptr<const region_set>& regions) const;
-    void take_answer(const instance_name& peer, delegation_number number, const routed_outcome& outcome,
+    void process_outcome(const instance_name& peer, delegation_number number, const routed_outcome& outcome,
                      time_point now);
     void delegate_groups(request_number number, open_request& opened, time_point now);
     void delegate_group(request_number number, open_request& opened, group& wanted, const instance_name& peer,
                  bool again, time_point now);
     void run_locally(request_number number, const std::vector<std::size_t>& wanted, bool again, time_point now);
-    bool run_group_locally(request_number number, group& lost, bool again, time_point now);
+    bool run_group_locally(request_number number, group& failed_group, bool again, time_point now);
     void replace_delegation(request_number number, group& asked, bool again, time_point now);
-    bool reassign_group(request_number number, group& lost, bool again, time_point now);
-    void on_delegation_failed(request_number number, group& asked, const ask& failed, const routed_outcome& outcome,
+    bool reassign_group(request_number number, group& failed_group, bool again, time_point now);
+    void on_delegation_failed(request_number number, group& asked, const delegation& failed, const routed_outcome& outcome,
                   time_point now);
     void reassign_silent_groups(request_number number, time_point now);
-    static void take_outcome(open_request& opened, group& asked, ask& from, const routed_outcome& outcome);
+    static void merge_outcome(open_request& opened, group& asked, delegation& from, const routed_outcome& outcome);
     static void end_group(open_request& opened, group& asked);
     static void describe(const open_request& opened, routed_outcome& outcome);
     void send_progress(request_number number, open_request& opened, time_point now);
@@ -288,11 +288,11 @@
     bool fits_attempt_limit(const open_request& opened) const;
     backend_server_name designated_of(const open_request& opened, const service_name& service,
                                       const entry_peer& near) const;
-    static std::size_t parts_in(const open_request& opened);
+    static std::size_t succeeded_parts(const open_request& opened);
     routed_outcome merged_so_far(const open_request& opened) const;
     double retry_budget_share_of(const service_name& service) const;
     double least_share_of(const open_request& opened) const;
-    duration time_to_answer(const route& by, const routed_request& request) const;
+    duration time_to_answer(const route& matched_route, const routed_request& request) const;
     void set_timer(request_number number, open_request& opened);
     void configure_scheduler(scheduler_index at, const shared_value<placed_service>& placed, bool places_changed,
                         time_point now);
@@ -302,9 +302,9 @@
     void detach(const part& asked);
     void submit(open_request& opened, part& wanted, double size, bool again, time_point now);
     void collect(scheduler_index at, time_point now);
-    void take(scheduler_index at, const dispatch::start_attempt& action, time_point now);
-    void take(scheduler_index at, const dispatch::cancel_attempt& action);
-    void take(scheduler_index at, const dispatch::finish_subquery& action, time_point now);
+    void apply(scheduler_index at, const dispatch::start_attempt& action, time_point now);
+    void apply(scheduler_index at, const dispatch::cancel_attempt& action);
+    void apply(scheduler_index at, const dispatch::finish_subquery& action, time_point now);
     void settle(request_number number, open_request& opened, time_point now);
     void settle_single(request_number number, open_request& opened);
     void settle_fan_out(request_number number, open_request& opened, time_point now);
@@ -313,17 +313,17 @@
     void fail(request_number number, open_request& opened, bool late);
     static std::vector<std::size_t> missing_shards(const open_request& opened);
     void finish(request_number number, open_request& opened, routed_outcome outcome);
-    bool enough_in(const open_request& opened) const;
+    bool has_min_share(const open_request& opened) const;
     void on_timer(request_number number, time_point now);
     void drop_undeclared_services(time_point now);
     static const request_fingerprint& fingerprint_of(open_request& opened);
-    crash_ledger::standing standing_of(open_request& opened, time_point now) const;
+    crash_ledger::quarantine_state quarantine_state_of(open_request& opened, time_point now) const;
     bool is_held_or_quarantined(open_request& opened, time_point now) const;
     void merge_crash_records(const std::vector<crash_record>& records, time_point now);
     void observe_crash(const started& ended, time_point now);
     void observe_answer(const started& ended, time_point now);
     std::int64_t born_ms_of(const started& attempt) const;
-    void on_standing(const request_fingerprint& fingerprint, crash_ledger::standing before, time_point now);
+    void on_quarantine_state(const request_fingerprint& fingerprint, crash_ledger::quarantine_state before, time_point now);
     void hold_or_release(const request_fingerprint& fingerprint, time_point now);
     void hold(request_number number, open_request& opened);
     void release(request_number number, open_request& opened, time_point now);
@@ -331,12 +331,12 @@
     void forget_held(request_number number);
     void abandon_delegations(const open_request& opened, bool stops);
     void detach_parts(const open_request& opened);
-    void settle_held(time_point now);
+    void process_held(time_point now);
     bool is_under_way(const open_request& opened) const;
     void end_quarantined(time_point now);
-    void try_next(time_point now);
-    bool try_part_of(request_number number, time_point now);
-    bool can_be_tried(const part& item, const std::shared_ptr<const region_set>& regions,
+    void start_next_trial(time_point now);
+    bool start_trial_of(request_number number, time_point now);
+    bool can_run_trial(const part& item, const std::shared_ptr<const region_set>& regions,
                       time_point now) const;
     void publish_crash_changes(time_point now);
 
@@ -358,7 +358,7 @@
     std::unordered_map<request_number, open_request> m_open;
     std::set<std::pair<time_point, request_number>> m_timers;
     dispatch::subquery_id m_next_subquery = 1;
-    std::unordered_map<dispatch::subquery_id, origin> m_origins;
+    std::unordered_map<dispatch::subquery_id, subquery_owner> m_subquery_owners;
     delegation_number m_next_delegation = 1;
     std::unordered_map<delegation_number, request_number> m_delegations;
     routed_attempt_number m_next_attempt = 1;
--- a/include/flaxtiller/routing/router_action.hpp
+++ b/include/flaxtiller/routing/router_action.hpp
@@ -99,10 +99,10 @@
 };
 
 /// @brief Whether a request is held back, or no longer; for logs and metrics.
-struct note_standing
+struct report_quarantine_state
 {
     request_fingerprint request;
-    crash_ledger::standing standing = crash_ledger::standing::clear;
+    crash_ledger::quarantine_state quarantine_state = crash_ledger::quarantine_state::clear;
     crash_record record;
     /// Requests of this and other kinds that are held back here now.
     std::size_t held = 0;
@@ -110,6 +110,6 @@
 
 using router_action =
     std::variant<start_routed_attempt, cancel_routed_attempt, answer_request, delegate_shards, abandon_delegation,
-                 send_partial_outcome, publish_crash_records, note_standing>;
+                 send_partial_outcome, publish_crash_records, report_quarantine_state>;
 
 } // namespace flaxtiller
--- a/include/flaxtiller/routing/shard_plan.hpp
+++ b/include/flaxtiller/routing/shard_plan.hpp
@@ -65,7 +65,7 @@
 
     /// @return the groups of a fan-out by this route; shards in no group are run here
     /// @complexity amortized O(shards)
-    const std::vector<group>& groups_of(const route& by);
+    const std::vector<group>& groups_of(const route& matched_route);
 
     /// @return whether this instance is among the entries that any availability zone asks first for the
     /// service
@@ -143,9 +143,9 @@
         auto operator<=>(const list_key&) const = default;
     };
 
-    static list_key key_of(const route& by)
+    static list_key key_of(const route& matched_route)
     {
-        return {by.fan_out, by.allowed_regions};
+        return {matched_route.fan_out, matched_route.allowed_regions};
     }
 
     /// The plan for one list of shards, and what it was made from.
@@ -171,20 +171,20 @@
     std::size_t region_index(const std::string& name) const;
     void update_services(const routing_view& view);
     void update_service(const shared_value<placed_service>& placed, service_locations& into) const;
-    bool update_list(const route& by, bool entries_changed);
+    bool update_list(const route& matched_route, bool entries_changed);
     void count_owners();
     sender rank_among_senders(const std::vector<entry_index>& senders, const std::string& key) const;
     std::size_t zone_index(const std::string& name) const;
     location_set zones_in(const region_set& regions) const;
     location_set regions_of(location_set zones) const;
-    list_plan make_list(const route& by) const;
+    list_plan make_list(const route& matched_route) const;
     bool is_owned(const std::vector<service_name>& shards) const;
-    void plan(const route& by, list_plan& into);
-    std::vector<planned_group> plan_from(const route& by, const list_plan& list, std::size_t zone,
+    void plan(const route& matched_route, list_plan& into);
+    std::vector<planned_group> plan_from(const route& matched_route, const list_plan& list, std::size_t zone,
                                          std::size_t own_region);
     void add_far_groups(const list_plan& list, const std::vector<std::size_t>& far,
                         std::vector<planned_group>& into) const;
-    void add_owned_groups(const route& by, std::size_t zone, const std::vector<std::size_t>& shards,
+    void add_owned_groups(const route& matched_route, std::size_t zone, const std::vector<std::size_t>& shards,
                           const std::string& salt, std::vector<planned_group>& into);
     std::vector<entry_index> rank_entries(const std::string& key, const std::vector<entry_index>& entries);
     group to_group(const planned_group& item) const;
--- a/include/flaxtiller/routing/target_choice.hpp
+++ b/include/flaxtiller/routing/target_choice.hpp
@@ -14,7 +14,7 @@
 {
   public:
     /// @return the service for the next request; the route must have a target with a weight above zero
-    service_name next(const route& by);
+    service_name next(const route& matched_route);
 
   private:
     struct turn
--- a/src/quarantine/crash_ledger.cpp
+++ b/src/quarantine/crash_ledger.cpp
@@ -11,18 +11,18 @@
 // one record
 // ---------------------------------------------------------------------------------------------------------
 
-crash_ledger::standing crash_ledger::standing_of(const record& item) noexcept
+crash_ledger::quarantine_state crash_ledger::quarantine_state_of(const record& item) noexcept
 {
     if (item.cleared || item.crashes.size() < enough_crashes)
     {
-        return standing::clear;
+        return quarantine_state::clear;
     }
     const bool proved = std::any_of(item.crashes.begin(), item.crashes.end(),
                                     [](const server_crash& crash)
                                     {
                                         return crash.on_trial;
                                     });
-    return proved ? standing::quarantined : standing::suspect;
+    return proved ? quarantine_state::quarantined : quarantine_state::suspect;
 }
 
 duration crash_ledger::kept_for(const record& item) noexcept
@@ -31,7 +31,7 @@
     {
         return cleared_for;
     }
-    return standing_of(item) == standing::quarantined ? quarantined_for : suspected_for;
+    return quarantine_state_of(item) == quarantine_state::quarantined ? quarantined_for : suspected_for;
 }
 
 bool crash_ledger::is_over(const record& item, time_point now) noexcept
@@ -57,7 +57,7 @@
         return true;
     }
     // More of them decide nothing, but for the first on trial.
-    if (!crash.on_trial || standing_of(item) == standing::quarantined)
+    if (!crash.on_trial || quarantine_state_of(item) == quarantine_state::quarantined)
     {
         return false;
     }
@@ -109,7 +109,7 @@
     }
     const auto weight = [](const records::value_type& item)
     {
-        return std::tuple(standing_of(item.second), item.second.crashes.size(), item.second.as_of);
+        return std::tuple(quarantine_state_of(item.second), item.second.crashes.size(), item.second.as_of);
     };
     const auto least = std::min_element(m_records.begin(), m_records.end(),
                                         [&](const auto& a, const auto& b)
@@ -180,10 +180,10 @@
 // inspection
 // ---------------------------------------------------------------------------------------------------------
 
-crash_ledger::standing crash_ledger::standing_of(const request_fingerprint& request, time_point now) const
+crash_ledger::quarantine_state crash_ledger::quarantine_state_of(const request_fingerprint& request, time_point now) const
 {
     const record* known = find(request, now);
-    return known == nullptr ? standing::clear : standing_of(*known);
+    return known == nullptr ? quarantine_state::clear : quarantine_state_of(*known);
 }
 
 bool crash_ledger::has_crashed(const request_fingerprint& request, time_point now) const
@@ -195,7 +195,7 @@
 duration crash_ledger::quarantine_left(const request_fingerprint& request, time_point now) const
 {
     const record* known = find(request, now);
-    if (known == nullptr || standing_of(*known) != standing::quarantined)
+    if (known == nullptr || quarantine_state_of(*known) != quarantine_state::quarantined)
     {
         return {};
     }
--- a/src/routing/caller_admission.cpp
+++ b/src/routing/caller_admission.cpp
@@ -31,16 +31,16 @@
 void caller_admission::turn_away(request_number number, routed_end end, const std::string& route,
                                  std::optional<rate_limiter::decision> over_limit)
 {
-    routed_outcome told;
-    told.end = end;
-    told.route = route;
-    told.revision = m_revision;
+    routed_outcome outcome;
+    outcome.end = end;
+    outcome.route = route;
+    outcome.revision = m_revision;
     if (over_limit)
     {
-        told.retry_after = over_limit->retry_after;
+        outcome.retry_after = over_limit->retry_after;
         ++m_counted[over_limit->team].over_limit;
     }
-    m_actions.emplace_back(reject_request{number, std::move(told), std::move(over_limit)});
+    m_actions.emplace_back(reject_request{number, std::move(outcome), std::move(over_limit)});
 }
 
 void caller_admission::arrive(request_number number, routed_request request, const std::string& key,
@@ -77,10 +77,10 @@
         m_held.emplace(number, held_request{std::move(request), route, now});
         return;
     }
-    take(made, std::move(request), route);
+    apply(made, std::move(request), route);
 }
 
-void caller_admission::take(const rate_limiter::decision& made, routed_request request,
+void caller_admission::apply(const rate_limiter::decision& made, routed_request request,
                             const std::string& route)
 {
     if (made.what == rate_limiter::verdict::admitted)
@@ -122,7 +122,7 @@
         m_held.erase(found);
         // The caller has been waiting.
         held.request.patience = std::max(held.request.patience - (now - held.since), duration{});
-        take(made, std::move(held.request), held.route);
+        apply(made, std::move(held.request), held.route);
     }
     if (auto report = m_limiter.take_report(now))
     {
--- a/src/routing/group_choice.cpp
+++ b/src/routing/group_choice.cpp
@@ -29,7 +29,7 @@
 
 std::optional<instance_name> group_choice::first_of(const shard_plan::group& item, time_point now)
 {
-    const std::size_t from = item.is_round_robin ? m_turn++ : 0;
+    const std::size_t from = item.is_round_robin ? m_next_start++ : 0;
     for (std::size_t i = 0; i < item.runner_candidates.size(); ++i)
     {
         const instance_name& peer = item.runner_candidates[(from + i) % item.runner_candidates.size()];
@@ -41,10 +41,10 @@
     return std::nullopt;
 }
 
-std::vector<group_choice::group> group_choice::groups_of(const route& by, time_point now)
+std::vector<group_choice::group> group_choice::groups_of(const route& matched_route, time_point now)
 {
     std::vector<group> groups;
-    for (const shard_plan::group& item : m_plan.groups_of(by))
+    for (const shard_plan::group& item : m_plan.groups_of(matched_route))
     {
         const auto peer = first_of(item, now);
         if (peer && *peer != m_self)
@@ -55,10 +55,10 @@
     return groups;
 }
 
-std::optional<instance_name> group_choice::another(const route& by, std::size_t first_shard,
+std::optional<instance_name> group_choice::next_runner(const route& matched_route, std::size_t first_shard,
                                                    const instance_name& failed, time_point now)
 {
-    for (const shard_plan::group& item : m_plan.groups_of(by))
+    for (const shard_plan::group& item : m_plan.groups_of(matched_route))
     {
         if (item.shards.empty() || item.shards.front() != first_shard)
         {
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -207,16 +207,16 @@
 
 void router::detach(const part& asked)
 {
-    service_scheduler& item = m_service_schedulers.at(asked.at);
+    service_scheduler& item = m_service_schedulers.at(asked.scheduler);
     item.scheduler.detach(asked.subquery);
-    note_due(asked.at, item);
+    note_due(asked.scheduler, item);
 }
 
 void router::run_locally(request_number number, const std::vector<std::size_t>& wanted, bool again,
                       time_point now)
 {
     open_request& opened = m_open.at(number);
-    const double size = m_route_latencies.relative_latency(opened.by->name, opened.list);
+    const double size = m_route_latencies.relative_latency(opened.matched_route->name, opened.list);
     if (wanted.size() >= min_parts_to_compare)
     {
         opened.progress = std::make_shared<dispatch::fan_out_progress>();
@@ -225,10 +225,10 @@
     for (const std::size_t at : wanted)
     {
         part& item = opened.parts[at];
-        item.at = scheduler_index_of(item.service);
+        item.scheduler = scheduler_index_of(item.service);
         item.subquery = m_next_subquery++;
-        m_origins.emplace(item.subquery, origin{number, at});
-        affected_schedulers.push_back(item.at);
+        m_subquery_owners.emplace(item.subquery, subquery_owner{number, at});
+        affected_schedulers.push_back(item.scheduler);
     }
     for (const std::size_t at : wanted)
     {
@@ -264,11 +264,11 @@
     }
     const started ended = std::move(found->second);
     m_started.erase(found);
-    if (ended.by->fans_out() && result.status == dispatch::attempt_status::answered)
+    if (ended.matched_route->fans_out() && result.status == dispatch::attempt_status::answered)
     {
-        m_route_latencies.note(ended.by->name, ended.list, now - ended.since);
+        m_route_latencies.note(ended.matched_route->name, ended.list, now - ended.since);
     }
-    m_number_of.erase({ended.at, ended.attempt});
+    m_number_of.erase({ended.scheduler, ended.attempt});
     end_trial(ended.subquery, now);
     if (result.hung_up)
     {
@@ -278,23 +278,23 @@
     {
         observe_answer(ended, now);
     }
-    const auto whose = m_origins.find(ended.subquery);
-    if (whose != m_origins.end() && answer)
+    const auto owner = m_subquery_owners.find(ended.subquery);
+    if (owner != m_subquery_owners.end() && answer)
     {
-        open_request& opened = m_open.at(whose->second.request);
-        opened.parts[whose->second.part].answer = std::move(answer);
+        open_request& opened = m_open.at(owner->second.request);
+        opened.parts[owner->second.part].answer = std::move(answer);
         if (opened.progress && result.status == dispatch::attempt_status::answered)
         {
             opened.progress->any_answered = true;
         }
     }
-    const auto at = m_service_schedulers.find(ended.at);
+    const auto at = m_service_schedulers.find(ended.scheduler);
     if (at != m_service_schedulers.end())
     {
         at->second.scheduler.on_result(ended.attempt, result, now);
-        collect(ended.at, now);
+        collect(ended.scheduler, now);
     }
-    settle_held(now);
+    process_held(now);
     publish_crash_changes(now);
 }
 
@@ -308,38 +308,38 @@
         {
             if (const auto* start = std::get_if<dispatch::start_attempt>(&wanted))
             {
-                take(at, *start, now);
+                apply(at, *start, now);
             }
             else if (const auto* cancel = std::get_if<dispatch::cancel_attempt>(&wanted))
             {
-                take(at, *cancel);
+                apply(at, *cancel);
             }
             else
             {
-                take(at, std::get<dispatch::finish_subquery>(wanted), now);
+                apply(at, std::get<dispatch::finish_subquery>(wanted), now);
             }
         }
     }
     note_due(at, item);
 }
 
-void router::take(scheduler_index at, const dispatch::start_attempt& action, time_point now)
+void router::apply(scheduler_index at, const dispatch::start_attempt& action, time_point now)
 {
     const routed_attempt_number number = m_next_attempt++;
-    const origin& whose = m_origins.at(action.subquery);
-    open_request& opened = m_open.at(whose.request);
+    const subquery_owner& owner = m_subquery_owners.at(action.subquery);
+    open_request& opened = m_open.at(owner.request);
     const bool on_trial = m_trial && m_trial->subquery == action.subquery;
-    m_started.emplace(number, started{at, action.attempt, action.subquery, whose.request, opened.request,
-                                      opened.by, opened.list, action.server, now, on_trial});
+    m_started.emplace(number, started{at, action.attempt, action.subquery, owner.request, opened.request,
+                                      opened.matched_route, opened.list, action.server, now, on_trial});
     m_number_of.emplace(std::pair(at, action.attempt), number);
     ++opened.attempts;
-    const int ordinal = ++opened.parts[whose.part].attempts;
-    m_actions.emplace_back(start_routed_attempt{number, whose.request, action.server, m_service_schedulers.at(at).service,
-                                                opened.by->fans_out(), ordinal, opened.by->repeatable,
+    const int ordinal = ++opened.parts[owner.part].attempts;
+    m_actions.emplace_back(start_routed_attempt{number, owner.request, action.server, m_service_schedulers.at(at).service,
+                                                opened.matched_route->fans_out(), ordinal, opened.matched_route->repeatable,
                                                 on_trial, opened.deadline, opened.request});
 }
 
-void router::take(scheduler_index at, const dispatch::cancel_attempt& action)
+void router::apply(scheduler_index at, const dispatch::cancel_attempt& action)
 {
     const auto found = m_number_of.find({at, action.attempt});
     if (found != m_number_of.end())
@@ -348,24 +348,24 @@
     }
 }
 
-void router::take(scheduler_index, const dispatch::finish_subquery& action, time_point now)
+void router::apply(scheduler_index, const dispatch::finish_subquery& action, time_point now)
 {
-    const auto found = m_origins.find(action.subquery);
-    if (found == m_origins.end())
+    const auto found = m_subquery_owners.find(action.subquery);
+    if (found == m_subquery_owners.end())
     {
         return;
     }
-    const origin whose = found->second;
-    m_origins.erase(found);
+    const subquery_owner owner = found->second;
+    m_subquery_owners.erase(found);
     end_trial(action.subquery, now);
-    const request_number number = whose.request;
+    const request_number number = owner.request;
     open_request& opened = m_open.at(number);
-    opened.parts[whose.part].over = true;
+    opened.parts[owner.part].is_finished = true;
     const subquery_result& result = action.result;
     opened.may_have_run = opened.may_have_run || result.outcome != outcome::not_run;
     if (result.outcome == outcome::run)
     {
-        ++opened.in;
+        ++opened.succeeded;
     }
     else
     {
@@ -394,14 +394,14 @@
         m_timers.erase(m_timers.begin());
         on_timer(number, now);
     }
-    settle_held(now);
+    process_held(now);
 }
 
 void router::on_timer(request_number number, time_point now)
 {
     open_request& opened = m_open.at(number);
     opened.past_objective = opened.past_objective || now >= opened.answer_at;
-    if (opened.past_objective && opened.by->fans_out() && enough_in(opened) && !opened.request->is_delegated())
+    if (opened.past_objective && opened.matched_route->fans_out() && has_min_share(opened) && !opened.request->is_delegated())
     {
         merge(number, opened);
         return;
@@ -417,15 +417,15 @@
         opened.progress_at = now < opened.answer_at ? opened.answer_at : time_point::never();
         send_progress(number, opened, now);
     }
-    const bool groups_late = now >= opened.group_check_at;
-    if (groups_late)
+    const bool check_groups = now >= opened.group_check_at;
+    if (check_groups)
     {
         // Looked at twice: when the first word was due, and past the objective.
-        const time_point second_look = opened.answer_at + m_options.silence_recheck_delay;
-        opened.group_check_at = now < opened.answer_at ? second_look : time_point::never();
+        const time_point second_check = opened.answer_at + m_options.silence_recheck_delay;
+        opened.group_check_at = now < opened.answer_at ? second_check : time_point::never();
     }
     set_timer(number, opened);
-    if (groups_late)
+    if (check_groups)
     {
         reassign_silent_groups(number, now);
     }
--- a/src/routing/router_admission.cpp
+++ b/src/routing/router_admission.cpp
@@ -8,34 +8,34 @@
 namespace flaxtiller
 {
 
-void router::refuse(request_number number, const route* by, missing_reason reason, duration retry_after)
+void router::refuse(request_number number, const route* matched_route, missing_reason reason, duration retry_after)
 {
-    routed_outcome told;
-    told.end = routed_end::refused;
-    told.reason = reason;
-    told.retry_after = std::max(m_options.min_retry_after, retry_after);
-    told.route = by == nullptr ? std::string() : by->name;
-    told.revision = m_view.placed ? m_view.placed->revision : 0;
-    m_actions.emplace_back(answer_request{number, std::move(told)});
+    routed_outcome outcome;
+    outcome.end = routed_end::refused;
+    outcome.reason = reason;
+    outcome.retry_after = std::max(m_options.min_retry_after, retry_after);
+    outcome.route = matched_route == nullptr ? std::string() : matched_route->name;
+    outcome.revision = m_view.placed ? m_view.placed->revision : 0;
+    m_actions.emplace_back(answer_request{number, std::move(outcome)});
 }
 
 /// The entry that asked may not know yet, so it is told why.
-void router::refuse_quarantined(request_number number, const route& by,
+void router::refuse_quarantined(request_number number, const route& matched_route,
                                 const request_fingerprint& fingerprint, time_point now)
 {
-    refuse(number, &by, missing_reason::quarantined, m_crashes.quarantine_left(fingerprint, now));
+    refuse(number, &matched_route, missing_reason::quarantined, m_crashes.quarantine_left(fingerprint, now));
     std::get<answer_request>(m_actions.back()).outcome.crashes = {m_crashes.record_of(fingerprint, now)};
 }
 
 /// Refuses a fan-out of which too many shards have no backend server that could be asked: running the others
 /// would only take their time.
 /// @return whether it was refused
-bool router::refuse_unservable(request_number number, const route& by,
+bool router::refuse_unservable(request_number number, const route& matched_route,
                                const std::shared_ptr<const region_set>& regions, time_point now)
 {
     std::vector<duration> returns;
     missing_reason reason = missing_reason::no_backend_server;
-    for (const service_name& service : by.fan_out)
+    for (const service_name& service : matched_route.fan_out)
     {
         duration retry_after = m_options.registration_retry;
         const dispatch::scheduler* scheduler = scheduler_of(service);
@@ -48,20 +48,20 @@
             reason = blocked;
         }
     }
-    const auto all = static_cast<double>(by.fan_out.size());
-    const double needed = by.least_share * all;
-    if (all - static_cast<double>(returns.size()) >= needed && returns.size() < by.fan_out.size())
+    const auto all = static_cast<double>(matched_route.fan_out.size());
+    const double needed = matched_route.least_share * all;
+    if (all - static_cast<double>(returns.size()) >= needed && returns.size() < matched_route.fan_out.size())
     {
         return false;
     }
     // It can be served once enough of them are back.
     std::sort(returns.begin(), returns.end());
     const auto may_miss = std::min(static_cast<std::size_t>(all - needed), returns.size() - 1);
-    refuse(number, &by, reason, returns[returns.size() - 1 - may_miss]);
+    refuse(number, &matched_route, reason, returns[returns.size() - 1 - may_miss]);
     return true;
 }
 
-std::vector<router::part> router::parts_of(const route& by, const routed_request& request)
+std::vector<router::part> router::parts_of(const route& matched_route, const routed_request& request)
 {
     std::vector<part> parts;
     const auto add = [&](const service_name& service, std::size_t shard)
@@ -70,9 +70,9 @@
         wanted.service = service;
         wanted.shard = shard;
     };
-    if (!by.fans_out())
+    if (!matched_route.fans_out())
     {
-        add(m_targets.next(by), 0);
+        add(m_targets.next(matched_route), 0);
         return parts;
     }
     if (request.is_delegated())
@@ -80,53 +80,53 @@
         for (std::size_t i = 0; i < request.delegated_shards.size(); ++i)
         {
             const std::size_t shard = request.delegated_shards[i];
-            add(by.fan_out.at(shard), shard);
+            add(matched_route.fan_out.at(shard), shard);
             parts.back().designated =
                 i < request.designated.size() ? request.designated[i] : backend_server_name();
         }
         return parts;
     }
-    for (std::size_t shard = 0; shard < by.fan_out.size(); ++shard)
+    for (std::size_t shard = 0; shard < matched_route.fan_out.size(); ++shard)
     {
-        add(by.fan_out[shard], shard);
+        add(matched_route.fan_out[shard], shard);
     }
     return parts;
 }
 
 /// How long a fan-out may wait for parts that are missing.
-duration router::time_to_answer(const route& by, const routed_request& request) const
+duration router::time_to_answer(const route& matched_route, const routed_request& request) const
 {
     if (request.is_delegated())
     {
         return request.answer_within;
     }
-    if (!by.fans_out() || by.objective <= duration{})
+    if (!matched_route.fans_out() || matched_route.objective <= duration{})
     {
-        return by.timeout;
+        return matched_route.timeout;
     }
-    return std::max(by.objective * m_options.objective_share - m_options.response_margin, duration{});
+    return std::max(matched_route.objective * m_options.objective_share - m_options.response_margin, duration{});
 }
 
 /// Both the asker's route and this entry's bind: they may be of different revisions.
-std::shared_ptr<const region_set> router::regions_of(const route& by, const routed_request& request)
+std::shared_ptr<const region_set> router::regions_of(const route& matched_route, const routed_request& request)
 {
-    region_set allowed = by.allowed_regions.both(request.delegated_regions);
+    region_set allowed = matched_route.allowed_regions.both(request.delegated_regions);
     return allowed.is_any() ? nullptr : std::make_shared<const region_set>(std::move(allowed));
 }
 
 /// @return the route as it holds for a team: the regions of both bind, wherever a place is chosen
-std::shared_ptr<const route> router::route_for(const team_name& name, std::shared_ptr<const route> by)
+std::shared_ptr<const route> router::route_for(const team_name& name, std::shared_ptr<const route> matched_route)
 {
     const team* sender = name.empty() ? nullptr : m_view.teams->find(name);
     if (sender == nullptr || sender->allowed_regions.is_any())
     {
-        return by;
+        return matched_route;
     }
-    std::shared_ptr<const route>& bound = m_team_routes[{by->name, name}];
+    std::shared_ptr<const route>& bound = m_team_routes[{matched_route->name, name}];
     if (!bound)
     {
-        route narrowed = *by;
-        narrowed.allowed_regions = by->allowed_regions.both(sender->allowed_regions);
+        route narrowed = *matched_route;
+        narrowed.allowed_regions = matched_route->allowed_regions.both(sender->allowed_regions);
         bound = std::make_shared<const route>(std::move(narrowed));
     }
     return bound;
@@ -146,70 +146,70 @@
         return;
     }
     const auto found = m_view.routes->find(request->host, request->target);
-    const auto by = found ? route_for(request->team, found) : nullptr;
-    if (!by)
+    const auto matched_route = found ? route_for(request->team, found) : nullptr;
+    if (!matched_route)
     {
-        routed_outcome told;
-        told.end = routed_end::no_route;
-        told.revision = m_view.placed->revision;
-        m_actions.emplace_back(answer_request{number, std::move(told)});
+        routed_outcome outcome;
+        outcome.end = routed_end::no_route;
+        outcome.revision = m_view.placed->revision;
+        m_actions.emplace_back(answer_request{number, std::move(outcome)});
         return;
     }
-    const std::uint64_t list = by->fans_out() ? list_id(by->fan_out) : 0;
+    const std::uint64_t list = matched_route->fans_out() ? list_id(matched_route->fan_out) : 0;
     const auto unknown = [&](std::size_t shard)
     {
-        return shard >= by->fan_out.size();
+        return shard >= matched_route->fan_out.size();
     };
     const bool other_list = request->is_delegated() && request->delegated_list != list;
     if (other_list || std::any_of(request->delegated_shards.begin(), request->delegated_shards.end(), unknown))
     {
-        refuse(number, by.get(), missing_reason::wrong_version);
+        refuse(number, matched_route.get(), missing_reason::wrong_version);
         return;
     }
-    const auto regions = regions_of(*by, *request);
+    const auto regions = regions_of(*matched_route, *request);
     if (is_outside(*request, regions))
     {
-        refuse(number, by.get(), missing_reason::no_allowed_region);
+        refuse(number, matched_route.get(), missing_reason::no_allowed_region);
         return;
     }
     if (m_open.size() >= m_options.max_open_requests)
     {
-        refuse(number, by.get(), missing_reason::overloaded);
+        refuse(number, matched_route.get(), missing_reason::overloaded);
         return;
     }
-    if (by->fans_out() && !request->is_delegated() && refuse_unservable(number, *by, regions, now))
+    if (matched_route->fans_out() && !request->is_delegated() && refuse_unservable(number, *matched_route, regions, now))
     {
         return;
     }
     std::optional<request_fingerprint> fingerprint;
-    auto standing = crash_ledger::standing::clear;
+    auto quarantine_state = crash_ledger::quarantine_state::clear;
     if (!m_crashes.empty())
     {
         fingerprint = flaxtiller::fingerprint_of(*request);
-        standing = m_crashes.standing_of(*fingerprint, now);
+        quarantine_state = m_crashes.quarantine_state_of(*fingerprint, now);
     }
-    if (standing == crash_ledger::standing::quarantined)
+    if (quarantine_state == crash_ledger::quarantine_state::quarantined)
     {
-        refuse_quarantined(number, *by, *fingerprint, now);
+        refuse_quarantined(number, *matched_route, *fingerprint, now);
         return;
     }
     open_request& opened = m_open[number];
     opened.fingerprint = std::move(fingerprint);
-    opened.held = standing == crash_ledger::standing::suspect;
-    opened.by = by;
+    opened.held = quarantine_state == crash_ledger::quarantine_state::suspect;
+    opened.matched_route = matched_route;
     opened.regions = regions;
     opened.list = list;
     opened.revision = m_view.placed->revision;
     opened.arrived_at = now;
     const duration patience = std::max(request->patience - m_options.response_margin, duration{});
-    opened.deadline = now + std::min(patience, by->timeout);
-    opened.answer_at = std::min(now + time_to_answer(*by, *request), opened.deadline);
+    opened.deadline = now + std::min(patience, matched_route->timeout);
+    opened.answer_at = std::min(now + time_to_answer(*matched_route, *request), opened.deadline);
     opened.request = std::move(request);
     if (opened.request->is_delegated() && opened.request->progress_within > duration{})
     {
         opened.progress_at = now + opened.request->progress_within;
     }
-    opened.parts = parts_of(*by, *opened.request);
+    opened.parts = parts_of(*matched_route, *opened.request);
     if (!opened.held)
     {
         delegate_groups(number, opened, now);
@@ -236,7 +236,7 @@
         m_held.insert(number);
     }
     run_locally(number, wanted, opened.request->is_repeated_delegation, now);
-    settle_held(now);
+    process_held(now);
 }
 
 } // namespace flaxtiller
--- a/src/routing/router_answers.cpp
+++ b/src/routing/router_answers.cpp
@@ -13,18 +13,18 @@
 /// What another entry asked for is of use to it whatever its share.
 double router::least_share_of(const open_request& opened) const
 {
-    return opened.request->is_delegated() ? 0.0 : opened.by->least_share;
+    return opened.request->is_delegated() ? 0.0 : opened.matched_route->least_share;
 }
 
-bool router::enough_in(const open_request& opened) const
+bool router::has_min_share(const open_request& opened) const
 {
     const auto wanted = least_share_of(opened) * static_cast<double>(opened.parts.size());
-    return opened.in > 0 && static_cast<double>(opened.in) >= wanted;
+    return opened.succeeded > 0 && static_cast<double>(opened.succeeded) >= wanted;
 }
 
 void router::settle(request_number number, open_request& opened, time_point now)
 {
-    if (opened.by->fans_out())
+    if (opened.matched_route->fans_out())
     {
         settle_fan_out(number, opened, now);
     }
@@ -40,10 +40,10 @@
     // Also a failure is the backend server's word: it is passed on where no success came.
     if (asked.answer)
     {
-        routed_outcome told;
-        told.end = routed_end::passed_on;
-        told.answer = asked.answer;
-        finish(number, opened, std::move(told));
+        routed_outcome outcome;
+        outcome.end = routed_end::passed_on;
+        outcome.answer = asked.answer;
+        finish(number, opened, std::move(outcome));
         return;
     }
     fail(number, opened, opened.reason == missing_reason::late);
@@ -52,16 +52,16 @@
 void router::settle_fan_out(request_number number, open_request& opened, time_point now)
 {
     const auto all = static_cast<int>(opened.parts.size());
-    const bool complete = opened.in + opened.missing == all;
+    const bool complete = opened.succeeded + opened.missing == all;
     // An entry that asked has what was in at its objective; what comes later may still be of use to it.
     const bool may_stop = opened.past_objective && !opened.request->is_delegated();
-    if (enough_in(opened) && (complete || may_stop))
+    if (has_min_share(opened) && (complete || may_stop))
     {
         merge(number, opened);
         return;
     }
-    const auto most_in = static_cast<double>(all - opened.missing);
-    const bool is_share_unreachable = most_in < least_share_of(opened) * static_cast<double>(all) || most_in == 0.0;
+    const auto max_succeeded = static_cast<double>(all - opened.missing);
+    const bool is_share_unreachable = max_succeeded < least_share_of(opened) * static_cast<double>(all) || max_succeeded == 0.0;
     if (is_share_unreachable || complete)
     {
         fail(number, opened, now >= opened.deadline);
@@ -73,12 +73,12 @@
     finish(number, opened, merged_so_far(opened));
 }
 
-std::size_t router::parts_in(const open_request& opened)
+std::size_t router::succeeded_parts(const open_request& opened)
 {
     auto count = static_cast<std::size_t>(std::count_if(opened.parts.begin(), opened.parts.end(),
                                                         [](const part& asked)
                                                         {
-                                                            return asked.is_in();
+                                                            return asked.has_succeeded();
                                                         }));
     for (const group& asked : opened.groups)
     {
@@ -89,15 +89,15 @@
 
 routed_outcome router::merged_so_far(const open_request& opened) const
 {
-    routed_outcome told;
-    told.end = routed_end::merged;
+    routed_outcome outcome;
+    outcome.end = routed_end::merged;
     std::vector<std::string_view> bodies;
     for (const part& asked : opened.parts)
     {
-        if (asked.is_in() && !asked.told)
+        if (asked.has_succeeded() && !asked.is_reported)
         {
             bodies.emplace_back(asked.answer->body);
-            told.signatures.push_back(asked.answer->signature);
+            outcome.signatures.push_back(asked.answer->signature);
         }
     }
     for (const group& asked : opened.groups)
@@ -105,41 +105,41 @@
         if (!asked.outcome.signatures.empty())
         {
             bodies.emplace_back(asked.outcome.merged);
-            told.signatures.insert(told.signatures.end(), asked.outcome.signatures.begin(),
+            outcome.signatures.insert(outcome.signatures.end(), asked.outcome.signatures.begin(),
                                    asked.outcome.signatures.end());
-            told.delegates.push_back(asked.answered_by);
+            outcome.delegates.push_back(asked.answered_by);
         }
     }
     // Not the length of the list of missing ones: what is named as in must be true whatever other entries say
     // of the rest.
-    told.missing = static_cast<int>(opened.parts.size() - parts_in(opened));
-    told.merged = top_records(bodies, static_cast<std::size_t>(opened.by->top_records));
-    return told;
+    outcome.missing = static_cast<int>(opened.parts.size() - succeeded_parts(opened));
+    outcome.merged = top_records(bodies, static_cast<std::size_t>(opened.matched_route->top_records));
+    return outcome;
 }
 
 /// The entry that asked sees by this that its request is being run, and has the parts if the rest comes late.
 void router::send_progress(request_number number, open_request& opened, time_point now)
 {
-    routed_outcome told = merged_so_far(opened);
+    routed_outcome outcome = merged_so_far(opened);
     const bool first = opened.progress_at != time_point::never();
-    if (!first && told.signatures.empty())
+    if (!first && outcome.signatures.empty())
     {
         // Nothing new.
         return;
     }
-    told.is_progress = true;
-    describe(opened, told);
-    told.took = now - opened.arrived_at;
+    outcome.is_progress = true;
+    describe(opened, outcome);
+    outcome.took = now - opened.arrived_at;
     for (part& asked : opened.parts)
     {
-        asked.told = asked.is_in();
+        asked.is_reported = asked.has_succeeded();
     }
-    m_actions.emplace_back(send_partial_outcome{number, std::move(told)});
+    m_actions.emplace_back(send_partial_outcome{number, std::move(outcome)});
 }
 
 void router::end_at_deadline(request_number number, open_request& opened)
 {
-    if (opened.by->fans_out() && enough_in(opened))
+    if (opened.matched_route->fans_out() && has_min_share(opened))
     {
         merge(number, opened);
         return;
@@ -167,31 +167,31 @@
     const bool running = std::any_of(opened.parts.begin(), opened.parts.end(),
                                      [](const part& asked)
                                      {
-                                         return !asked.over;
+                                         return !asked.is_finished;
                                      });
-    routed_outcome told;
-    told.end = routed_end::refused;
-    const bool asked_elsewhere = std::any_of(opened.groups.begin(), opened.groups.end(),
+    routed_outcome outcome;
+    outcome.end = routed_end::refused;
+    const bool is_delegated = std::any_of(opened.groups.begin(), opened.groups.end(),
                                              [](const group& asked)
                                              {
-                                                 return !asked.over;
+                                                 return !asked.is_finished;
                                              });
-    if (opened.may_have_run || (running && opened.attempts > 0) || asked_elsewhere)
+    if (opened.may_have_run || (running && opened.attempts > 0) || is_delegated)
     {
-        told.end = late ? routed_end::late : routed_end::failed;
+        outcome.end = late ? routed_end::late : routed_end::failed;
     }
-    told.retry_after = std::max(opened.retry_after, m_options.min_retry_after);
-    finish(number, opened, std::move(told));
+    outcome.retry_after = std::max(opened.retry_after, m_options.min_retry_after);
+    finish(number, opened, std::move(outcome));
 }
 
 std::vector<std::size_t> router::missing_shards(const open_request& opened)
 {
     std::vector<std::size_t> missing;
-    if (!opened.by->fans_out())
+    if (!opened.matched_route->fans_out())
     {
         return missing;
     }
-    std::vector<bool> known_elsewhere(opened.parts.size(), false);
+    std::vector<bool> known_from_group(opened.parts.size(), false);
     for (const group& asked : opened.groups)
     {
         if (asked.outcome.signatures.empty())
@@ -202,12 +202,12 @@
                        asked.outcome.missing_shards.end());
         for (const std::size_t at : asked.parts)
         {
-            known_elsewhere[at] = true;
+            known_from_group[at] = true;
         }
     }
     for (std::size_t at = 0; at < opened.parts.size(); ++at)
     {
-        if (!known_elsewhere[at] && !opened.parts[at].is_in())
+        if (!known_from_group[at] && !opened.parts[at].has_succeeded())
         {
             missing.push_back(opened.parts[at].shard);
         }
@@ -217,7 +217,7 @@
 
 void router::describe(const open_request& opened, routed_outcome& outcome)
 {
-    outcome.route = opened.by->name;
+    outcome.route = opened.matched_route->name;
     outcome.revision = opened.revision;
     outcome.attempts = opened.attempts;
     outcome.missing_shards = missing_shards(opened);
@@ -228,7 +228,7 @@
     describe(opened, outcome);
     for (const std::size_t shard : outcome.missing_shards)
     {
-        outcome.missing_services.push_back(opened.by->fan_out.at(shard));
+        outcome.missing_services.push_back(opened.matched_route->fan_out.at(shard));
     }
     outcome.reason = opened.reason;
     abandon_delegations(opened, false);
--- a/src/routing/router_groups.cpp
+++ b/src/routing/router_groups.cpp
@@ -17,12 +17,12 @@
 
 void router::delegate_groups(request_number number, open_request& opened, time_point now)
 {
-    if (!opened.by->fans_out() || opened.request->is_delegated())
+    if (!opened.matched_route->fans_out() || opened.request->is_delegated())
     {
         return;
     }
-    const auto chosen_groups = m_groups.groups_of(*opened.by, now);
-    opened.designates = !chosen_groups.empty() && !fits_attempt_limit(opened);
+    const auto chosen_groups = m_groups.groups_of(*opened.matched_route, now);
+    opened.designates_servers = !chosen_groups.empty() && !fits_attempt_limit(opened);
     for (const group_choice::group& chosen : chosen_groups)
     {
         group& wanted = opened.groups.emplace_back();
@@ -43,27 +43,27 @@
     sent.answer_within = std::max(opened.answer_at - now - way, duration::from_ms(1));
     sent.progress_within = sent.answer_within * m_options.progress_share;
     sent.again = again;
-    sent.regions = opened.by->allowed_regions;
+    sent.regions = opened.matched_route->allowed_regions;
     sent.sent = opened.request;
     const auto listed = m_peers.find(peer);
-    const bool first = wanted.asks.empty();
-    const bool designates = opened.designates && first && listed != m_peers.end();
+    const bool first = wanted.delegations.empty();
+    const bool designates_servers = opened.designates_servers && first && listed != m_peers.end();
     for (const std::size_t at : wanted.parts)
     {
         sent.shards.push_back(opened.parts[at].shard);
-        if (designates)
+        if (designates_servers)
         {
             wanted.designated.push_back(designated_of(opened, opened.parts[at].service, listed->second));
         }
     }
     sent.designated = wanted.designated;
-    const time_point word_due = now + sent.progress_within + way + m_options.progress_grace;
-    opened.group_check_at = std::min(opened.group_check_at, word_due);
+    const time_point progress_due = now + sent.progress_within + way + m_options.progress_grace;
+    opened.group_check_at = std::min(opened.group_check_at, progress_due);
     m_delegations.emplace(sent.number, number);
-    ask& begun = wanted.asks.emplace_back();
-    begun.number = sent.number;
-    begun.peer = peer;
-    begun.sent_at = now;
+    delegation& sent_delegation = wanted.delegations.emplace_back();
+    sent_delegation.number = sent.number;
+    sent_delegation.peer = peer;
+    sent_delegation.sent_at = now;
     m_actions.emplace_back(std::move(sent));
 }
 
@@ -105,7 +105,7 @@
                            const auto placed = m_view.placed->services.find(item.service);
                            return placed == m_view.placed->services.end() ||
                                   static_cast<int>(placed->second->shards.at(0).size()) <=
-                                      opened.by->most_attempts;
+                                      opened.matched_route->most_attempts;
                        });
 }
 
@@ -153,24 +153,24 @@
 }
 
 /// @return whether it could be run here
-bool router::run_group_locally(request_number number, group& lost, bool again, time_point now)
+bool router::run_group_locally(request_number number, group& failed_group, bool again, time_point now)
 {
     open_request& opened = m_open.at(number);
-    const bool owned = m_groups.plan().is_owned(opened.parts[lost.parts.front()].service);
-    const bool may_again = !owned && group_has_retry_budget(opened, lost);
-    if ((again && !may_again) || !lost.outcome.signatures.empty())
+    const bool owned = m_groups.plan().is_owned(opened.parts[failed_group.parts.front()].service);
+    const bool can_repeat = !owned && group_has_retry_budget(opened, failed_group);
+    if ((again && !can_repeat) || !failed_group.outcome.signatures.empty())
     {
         return false;
     }
-    lost.over = true;
-    for (const ask& sent : lost.asks)
+    failed_group.is_finished = true;
+    for (const delegation& sent : failed_group.delegations)
     {
         m_delegations.erase(sent.number);
     }
-    const std::vector<std::size_t> wanted = lost.parts;
-    for (std::size_t i = 0; again && i < lost.designated.size(); ++i)
+    const std::vector<std::size_t> wanted = failed_group.parts;
+    for (std::size_t i = 0; again && i < failed_group.designated.size(); ++i)
     {
-        opened.parts[wanted[i]].designated = lost.designated[i];
+        opened.parts[wanted[i]].designated = failed_group.designated[i];
     }
     run_locally(number, wanted, again, now);
     return true;
@@ -178,24 +178,24 @@
 
 /// Has a group run by another entry, or here.
 /// @return whether there is anyone to run it
-bool router::reassign_group(request_number number, group& lost, bool again, time_point now)
+bool router::reassign_group(request_number number, group& failed_group, bool again, time_point now)
 {
     open_request& opened = m_open.at(number);
     if (is_held_or_quarantined(opened, now))
     {
         return false;
     }
-    constexpr std::size_t most_asks = 2;
-    if (again && lost.asks.size() >= most_asks)
+    constexpr std::size_t max_delegations = 2;
+    if (again && failed_group.delegations.size() >= max_delegations)
     {
         return false;
     }
-    const auto next = m_groups.another(*opened.by, lost.parts.front(), lost.asks.back().peer, now);
+    const auto next = m_groups.next_runner(*opened.matched_route, failed_group.parts.front(), failed_group.delegations.back().peer, now);
     if (!next || *next == m_view.self)
     {
-        return run_group_locally(number, lost, again, now);
+        return run_group_locally(number, failed_group, again, now);
     }
-    delegate_group(number, opened, lost, *next, again, now);
+    delegate_group(number, opened, failed_group, *next, again, now);
     return true;
 }
 
@@ -212,7 +212,7 @@
         group& asked = found->second.groups[i];
         if (asked.is_silent())
         {
-            m_groups.failed(asked.asks.back().peer, now);
+            m_groups.failed(asked.delegations.back().peer, now);
             // Where nobody can, its answer may still come until the deadline.
             (void)reassign_group(number, asked, true, now);
         }
@@ -228,16 +228,16 @@
         for (std::size_t i = 0; i < opened.groups.size(); ++i)
         {
             group& asked = opened.groups[i];
-            for (ask& sent : asked.asks)
+            for (delegation& sent : asked.delegations)
             {
-                if (sent.peer == peer && !sent.over)
+                if (sent.peer == peer && !sent.is_finished)
                 {
                     // A word of it may be lost, so that a later one doesn't tell all any more.
-                    sent.over = true;
+                    sent.is_finished = true;
                     m_delegations.erase(sent.number);
                 }
             }
-            if (!asked.over && !asked.is_awaited())
+            if (!asked.is_finished && !asked.is_awaited())
             {
                 hit.emplace_back(number, i);
             }
@@ -246,7 +246,7 @@
     for (const auto& [number, at] : hit)
     {
         const auto found = m_open.find(number);
-        if (found != m_open.end() && !found->second.groups[at].over)
+        if (found != m_open.end() && !found->second.groups[at].is_finished)
         {
             replace_delegation(number, found->second.groups[at], true, now);
         }
@@ -271,28 +271,28 @@
 
 /// Adds what an entry told to what it told before. Of two entries that run the same shards, the one that has
 /// more of them counts.
-void router::take_outcome(open_request& opened, group& asked, ask& from, const routed_outcome& outcome)
+void router::merge_outcome(open_request& opened, group& asked, delegation& from, const routed_outcome& outcome)
 {
     routed_outcome& sum = from.outcome;
     sum.signatures.insert(sum.signatures.end(), outcome.signatures.begin(), outcome.signatures.end());
-    sum.merged = top_records({sum.merged, outcome.merged}, static_cast<std::size_t>(opened.by->top_records));
+    sum.merged = top_records({sum.merged, outcome.merged}, static_cast<std::size_t>(opened.matched_route->top_records));
     sum.missing_shards = outcome.missing_shards;
     if (sum.signatures.size() < asked.outcome.signatures.size())
     {
         return;
     }
-    opened.in += static_cast<int>(sum.signatures.size()) - static_cast<int>(asked.outcome.signatures.size());
+    opened.succeeded += static_cast<int>(sum.signatures.size()) - static_cast<int>(asked.outcome.signatures.size());
     asked.outcome = sum;
     asked.answered_by = from.peer;
 }
 
 void router::end_group(open_request& opened, group& asked)
 {
-    asked.over = true;
+    asked.is_finished = true;
     opened.missing += static_cast<int>(asked.parts.size() - asked.outcome.signatures.size());
     for (const std::size_t at : asked.parts)
     {
-        opened.parts[at].over = true;
+        opened.parts[at].is_finished = true;
     }
 }
 
@@ -300,11 +300,11 @@
                             time_point now)
 {
     merge_crash_records(outcome.crashes, now);
-    take_answer(peer, number, outcome, now);
-    settle_held(now);
+    process_outcome(peer, number, outcome, now);
+    process_held(now);
 }
 
-void router::take_answer(const instance_name& peer, delegation_number number, const routed_outcome& outcome,
+void router::process_outcome(const instance_name& peer, delegation_number number, const routed_outcome& outcome,
                          time_point now)
 {
     const auto known = m_delegations.find(number);
@@ -314,20 +314,20 @@
     }
     const request_number request = known->second;
     open_request& opened = m_open.at(request);
-    const auto holds = [&](const ask& sent)
+    const auto holds = [&](const delegation& sent)
     {
         return sent.number == number;
     };
     const auto asked = std::find_if(opened.groups.begin(), opened.groups.end(),
                                     [&](const group& item)
                                     {
-                                        return std::any_of(item.asks.begin(), item.asks.end(), holds);
+                                        return std::any_of(item.delegations.begin(), item.delegations.end(), holds);
                                     });
-    ask& sent = *std::find_if(asked->asks.begin(), asked->asks.end(), holds);
-    sent.heard = true;
-    sent.over = !outcome.is_progress;
+    delegation& sent = *std::find_if(asked->delegations.begin(), asked->delegations.end(), holds);
+    sent.has_replied = true;
+    sent.is_finished = !outcome.is_progress;
     opened.may_have_run = opened.may_have_run || outcome.attempts > 0;
-    if (sent.over)
+    if (sent.is_finished)
     {
         m_delegations.erase(known);
     }
@@ -338,8 +338,8 @@
     }
     record_round_trip(peer, now - sent.sent_at - outcome.took);
     m_groups.answered(peer);
-    take_outcome(opened, *asked, sent, outcome);
-    if (sent.over)
+    merge_outcome(opened, *asked, sent, outcome);
+    if (sent.is_finished)
     {
         opened.attempts += outcome.attempts;
     }
@@ -351,7 +351,7 @@
 }
 
 /// An entry failed what it was asked.
-void router::on_delegation_failed(request_number number, group& asked, const ask& failed, const routed_outcome& outcome,
+void router::on_delegation_failed(request_number number, group& asked, const delegation& failed, const routed_outcome& outcome,
                       time_point now)
 {
     m_groups.failed(failed.peer, now);
@@ -359,7 +359,7 @@
     open_request& opened = m_open.at(number);
     opened.may_have_run = opened.may_have_run || !not_run;
     opened.reason = outcome.reason;
-    const bool first = asked.asks.size() == 1;
+    const bool first = asked.delegations.size() == 1;
     if (!asked.is_awaited())
     {
         replace_delegation(number, asked, !(not_run && first), now);
@@ -375,22 +375,22 @@
     dispatch::subquery asked;
     asked.id = wanted.subquery;
     asked.deadline = opened.deadline;
-    asked.repeatable = opened.by->repeatable;
-    asked.most_attempts = opened.by->most_attempts;
+    asked.repeatable = opened.matched_route->repeatable;
+    asked.most_attempts = opened.matched_route->most_attempts;
     asked.again = again;
     asked.designated = wanted.designated;
     asked.regions = opened.regions;
     asked.size = size;
     asked.held = opened.held;
     asked.fan_out = opened.progress;
-    m_service_schedulers.at(wanted.at).scheduler.submit(asked, now);
+    m_service_schedulers.at(wanted.scheduler).scheduler.submit(asked, now);
 }
 
 void router::abandon_delegations(const open_request& opened, bool stops)
 {
     for (const group& asked : opened.groups)
     {
-        for (const ask& sent : asked.asks)
+        for (const delegation& sent : asked.delegations)
         {
             if (m_delegations.erase(sent.number) > 0)
             {
@@ -404,9 +404,9 @@
 {
     for (const part& asked : opened.parts)
     {
-        if (!asked.over && asked.subquery != 0)
+        if (!asked.is_finished && asked.subquery != 0)
         {
-            m_origins.erase(asked.subquery);
+            m_subquery_owners.erase(asked.subquery);
             detach(asked);
         }
     }
@@ -438,11 +438,11 @@
     abandon_delegations(opened, true);
     for (const part& asked : opened.parts)
     {
-        m_origins.erase(asked.subquery);
-        if (!asked.over && asked.subquery != 0)
+        m_subquery_owners.erase(asked.subquery);
+        if (!asked.is_finished && asked.subquery != 0)
         {
-            m_service_schedulers.at(asked.at).scheduler.abandon(asked.subquery, now);
-            collect(asked.at, now);
+            m_service_schedulers.at(asked.scheduler).scheduler.abandon(asked.subquery, now);
+            collect(asked.scheduler, now);
         }
     }
 }
--- a/src/routing/router_suspects.cpp
+++ b/src/routing/router_suspects.cpp
@@ -9,7 +9,7 @@
 namespace flaxtiller
 {
 
-using standing = crash_ledger::standing;
+using quarantine_state = crash_ledger::quarantine_state;
 
 const request_fingerprint& router::fingerprint_of(open_request& opened)
 {
@@ -20,9 +20,9 @@
     return *opened.fingerprint;
 }
 
-standing router::standing_of(open_request& opened, time_point now) const
+quarantine_state router::quarantine_state_of(open_request& opened, time_point now) const
 {
-    return m_crashes.empty() ? standing::clear : m_crashes.standing_of(fingerprint_of(opened), now);
+    return m_crashes.empty() ? quarantine_state::clear : m_crashes.quarantine_state_of(fingerprint_of(opened), now);
 }
 
 // ---------------------------------------------------------------------------------------------------------
@@ -31,7 +31,7 @@
 
 std::int64_t router::born_ms_of(const started& attempt) const
 {
-    const auto at = m_service_schedulers.find(attempt.at);
+    const auto at = m_service_schedulers.find(attempt.scheduler);
     if (at == m_service_schedulers.end())
     {
         return 0;
@@ -52,16 +52,16 @@
 void router::observe_crash(const started& ended, time_point now)
 {
     const auto found = m_open.find(ended.request);
-    if (found != m_open.end() && found->second.in > 0)
+    if (found != m_open.end() && found->second.succeeded > 0)
     {
         // Other backend servers ran it to a good end.
         return;
     }
     const request_fingerprint fingerprint =
         found != m_open.end() ? fingerprint_of(found->second) : flaxtiller::fingerprint_of(*ended.sent);
-    const standing before = m_crashes.standing_of(fingerprint, now);
+    const quarantine_state before = m_crashes.quarantine_state_of(fingerprint, now);
     m_crashes.on_crash(fingerprint, {ended.server, born_ms_of(ended), ended.on_trial}, now);
-    if (m_crashes.standing_of(fingerprint, now) != standing::clear)
+    if (m_crashes.quarantine_state_of(fingerprint, now) != quarantine_state::clear)
     {
         m_next_trial_at = now + m_options.trial_pause;
     }
@@ -69,7 +69,7 @@
     {
         found->second.crashes = {m_crashes.record_of(fingerprint, now)};
     }
-    on_standing(fingerprint, before, now);
+    on_quarantine_state(fingerprint, before, now);
 }
 
 void router::observe_answer(const started& ended, time_point now)
@@ -79,20 +79,20 @@
         found != m_open.end() ? fingerprint_of(found->second) : flaxtiller::fingerprint_of(*ended.sent);
     if (m_crashes.has_crashed(fingerprint, now))
     {
-        const standing before = m_crashes.standing_of(fingerprint, now);
+        const quarantine_state before = m_crashes.quarantine_state_of(fingerprint, now);
         m_crashes.on_answer(fingerprint, now);
-        on_standing(fingerprint, before, now);
+        on_quarantine_state(fingerprint, before, now);
     }
 }
 
 void router::merge_crash_records(const std::vector<crash_record>& records, time_point now)
 {
-    for (const crash_record& told : records)
+    for (const crash_record& reported : records)
     {
-        const standing before = m_crashes.standing_of(told.request, now);
-        if (m_crashes.merge(told, now))
+        const quarantine_state before = m_crashes.quarantine_state_of(reported.request, now);
+        if (m_crashes.merge(reported, now))
         {
-            on_standing(told.request, before, now);
+            on_quarantine_state(reported.request, before, now);
         }
     }
 }
@@ -102,7 +102,7 @@
     merge_crash_records(records, now);
     // Who told it tells the others, too.
     (void)m_crashes.take_changes(now);
-    settle_held(now);
+    process_held(now);
 }
 
 void router::publish_crash_changes(time_point now)
@@ -118,22 +118,22 @@
 // holding back
 // ---------------------------------------------------------------------------------------------------------
 
-void router::on_standing(const request_fingerprint& fingerprint, standing before, time_point now)
+void router::on_quarantine_state(const request_fingerprint& fingerprint, quarantine_state before, time_point now)
 {
-    const standing after = m_crashes.standing_of(fingerprint, now);
+    const quarantine_state after = m_crashes.quarantine_state_of(fingerprint, now);
     if (after == before)
     {
         return;
     }
     hold_or_release(fingerprint, now);
     m_actions.emplace_back(
-        note_standing{fingerprint, after, m_crashes.record_of(fingerprint, now), m_held.size()});
+        report_quarantine_state{fingerprint, after, m_crashes.record_of(fingerprint, now), m_held.size()});
 }
 
 /// Does what the standing of these requests now asks for. None of them ends by it; see @ref settle_held.
 void router::hold_or_release(const request_fingerprint& fingerprint, time_point now)
 {
-    const bool holds = m_crashes.standing_of(fingerprint, now) != standing::clear;
+    const bool holds = m_crashes.quarantine_state_of(fingerprint, now) != quarantine_state::clear;
     if (!holds && m_held.empty())
     {
         return;
@@ -165,11 +165,11 @@
     m_held.insert(number);
     for (const part& item : opened.parts)
     {
-        if (!item.over && item.subquery != 0)
+        if (!item.is_finished && item.subquery != 0)
         {
-            service_scheduler& runs = m_service_schedulers.at(item.at);
+            service_scheduler& runs = m_service_schedulers.at(item.scheduler);
             runs.scheduler.hold(item.subquery);
-            note_due(item.at, runs);
+            note_due(item.scheduler, runs);
         }
     }
 }
@@ -181,10 +181,10 @@
     std::vector<scheduler_index> affected_schedulers;
     for (const part& item : opened.parts)
     {
-        if (!item.over && item.subquery != 0)
+        if (!item.is_finished && item.subquery != 0)
         {
-            m_service_schedulers.at(item.at).scheduler.release(item.subquery, now);
-            affected_schedulers.push_back(item.at);
+            m_service_schedulers.at(item.scheduler).scheduler.release(item.subquery, now);
+            affected_schedulers.push_back(item.scheduler);
         }
     }
     // Collected only after all are released: an early end of one part must not answer before.
@@ -216,14 +216,14 @@
     }
 }
 
-void router::settle_held(time_point now)
+void router::process_held(time_point now)
 {
     if (m_held.empty())
     {
         return;
     }
     end_quarantined(now);
-    try_next(now);
+    start_next_trial(now);
 }
 
 bool router::is_under_way(const open_request& opened) const
@@ -231,13 +231,13 @@
     const bool awaited = std::any_of(opened.groups.begin(), opened.groups.end(),
                                      [](const group& asked)
                                      {
-                                         return !asked.over && asked.is_awaited();
+                                         return !asked.is_finished && asked.is_awaited();
                                      });
     return awaited || std::any_of(opened.parts.begin(), opened.parts.end(),
                                   [&](const part& item)
                                   {
-                                      return !item.over && item.subquery != 0 &&
-                                             !m_service_schedulers.at(item.at).scheduler.is_held_back(item.subquery);
+                                      return !item.is_finished && item.subquery != 0 &&
+                                             !m_service_schedulers.at(item.scheduler).scheduler.is_held_back(item.subquery);
                                   });
 }
 
@@ -254,13 +254,13 @@
             continue;
         }
         open_request& opened = found->second;
-        const standing known = standing_of(opened, now);
-        if (known == standing::clear)
+        const quarantine_state known = quarantine_state_of(opened, now);
+        if (known == quarantine_state::clear)
         {
             // Its record was forgotten.
             release(number, opened, now);
         }
-        else if (known == standing::quarantined && !is_under_way(opened))
+        else if (known == quarantine_state::quarantined && !is_under_way(opened))
         {
             opened.reason = missing_reason::quarantined;
             opened.retry_after = m_crashes.quarantine_left(fingerprint_of(opened), now);
@@ -271,7 +271,7 @@
 }
 
 /// Tries one request that is held back, those with the fewest crashes first: they are the least likely cause.
-void router::try_next(time_point now)
+void router::start_next_trial(time_point now)
 {
     if (m_trial || m_held.empty() || now < m_next_trial_at)
     {
@@ -281,7 +281,7 @@
     for (const request_number number : m_held)
     {
         open_request& opened = m_open.at(number);
-        if (standing_of(opened, now) == standing::suspect)
+        if (quarantine_state_of(opened, now) == quarantine_state::suspect)
         {
             waiting.emplace_back(m_crashes.record_of(fingerprint_of(opened), now).crashes.size(), number);
         }
@@ -289,7 +289,7 @@
     std::sort(waiting.begin(), waiting.end());
     for (const auto& [crashes, number] : waiting)
     {
-        if (try_part_of(number, now))
+        if (start_trial_of(number, now))
         {
             return;
         }
@@ -297,25 +297,25 @@
     m_next_trial_at = now + m_options.trial_pause;
 }
 
-bool router::can_be_tried(const part& item, const std::shared_ptr<const region_set>& regions,
+bool router::can_run_trial(const part& item, const std::shared_ptr<const region_set>& regions,
                           time_point now) const
 {
-    const dispatch::scheduler& scheduler = m_service_schedulers.at(item.at).scheduler;
+    const dispatch::scheduler& scheduler = m_service_schedulers.at(item.scheduler).scheduler;
     duration retry_after{};
     return scheduler.is_held_back(item.subquery) &&
            scheduler.why_unavailable(0, regions, now, retry_after) == missing_reason::none;
 }
 
 /// @return whether one of its parts is being tried
-bool router::try_part_of(request_number number, time_point now)
+bool router::start_trial_of(request_number number, time_point now)
 {
     const open_request& opened = m_open.at(number);
     for (const part& item : opened.parts)
     {
-        if (!item.over && item.subquery != 0 && can_be_tried(item, opened.regions, now))
+        if (!item.is_finished && item.subquery != 0 && can_run_trial(item, opened.regions, now))
         {
             m_trial = trial{number, item.subquery};
-            const scheduler_index at = item.at;
+            const scheduler_index at = item.scheduler;
             m_service_schedulers.at(at).scheduler.try_once(item.subquery, now);
             collect(at, now);
             return true;
@@ -327,7 +327,7 @@
 /// @return whether none of it may be sent to further backend servers now, here or by another entry
 bool router::is_held_or_quarantined(open_request& opened, time_point now) const
 {
-    return standing_of(opened, now) != standing::clear;
+    return quarantine_state_of(opened, now) != quarantine_state::clear;
 }
 
 } // namespace flaxtiller
--- a/src/routing/shard_plan.cpp
+++ b/src/routing/shard_plan.cpp
@@ -26,9 +26,9 @@
     update_services(view);
     std::map<list_key, list_plan> before = std::exchange(m_lists, {});
     bool changed = false;
-    for (const auto& by : view.routes->fan_outs())
+    for (const auto& matched_route : view.routes->fan_outs())
     {
-        const list_key key = key_of(*by);
+        const list_key key = key_of(*matched_route);
         if (m_lists.count(key) > 0)
         {
             // Another route shares the list.
@@ -39,7 +39,7 @@
         {
             m_lists.insert(std::move(kept));
         }
-        changed = update_list(*by, entries_changed) || changed;
+        changed = update_list(*matched_route, entries_changed) || changed;
     }
     if (changed || !before.empty())
     {
@@ -185,28 +185,28 @@
 }
 
 /// @return whether the list was planned anew
-bool shard_plan::update_list(const route& by, bool entries_changed)
+bool shard_plan::update_list(const route& matched_route, bool entries_changed)
 {
-    list_plan next = make_list(by);
-    const auto known = m_lists.find(key_of(by));
+    list_plan next = make_list(matched_route);
+    const auto known = m_lists.find(key_of(matched_route));
     const bool same = known != m_lists.end() && !entries_changed && known->second.zones == next.zones &&
                       known->second.owned == next.owned;
     if (same)
     {
         return false;
     }
-    plan(by, next);
-    m_lists.insert_or_assign(key_of(by), std::move(next));
+    plan(matched_route, next);
+    m_lists.insert_or_assign(key_of(matched_route), std::move(next));
     return true;
 }
 
-shard_plan::list_plan shard_plan::make_list(const route& by) const
+shard_plan::list_plan shard_plan::make_list(const route& matched_route) const
 {
     list_plan list;
-    list.owned = is_owned(by.fan_out);
-    list.zones.reserve(by.fan_out.size());
-    const location_set allowed = zones_in(by.allowed_regions);
-    for (const service_name& service : by.fan_out)
+    list.owned = is_owned(matched_route.fan_out);
+    list.zones.reserve(matched_route.fan_out.size());
+    const location_set allowed = zones_in(matched_route.allowed_regions);
+    for (const service_name& service : matched_route.fan_out)
     {
         const auto known = m_services.find(service);
         list.zones.push_back(known == m_services.end() ? 0 : known->second.zones & allowed);
@@ -262,17 +262,17 @@
 // the plan
 // ---------------------------------------------------------------------------------------------------------
 
-const std::vector<shard_plan::group>& shard_plan::groups_of(const route& by)
+const std::vector<shard_plan::group>& shard_plan::groups_of(const route& matched_route)
 {
-    const auto known = m_lists.find(key_of(by));
+    const auto known = m_lists.find(key_of(matched_route));
     if (known != m_lists.end())
     {
         return known->second.groups;
     }
     // A route that isn't in force any more, for a request that began with it.
-    list_plan list = make_list(by);
-    plan(by, list);
-    return m_lists.emplace(key_of(by), std::move(list)).first->second.groups;
+    list_plan list = make_list(matched_route);
+    plan(matched_route, list);
+    return m_lists.emplace(key_of(matched_route), std::move(list)).first->second.groups;
 }
 
 std::size_t shard_plan::owners_of(const service_name& service) const
--- a/src/routing/shard_plan_groups.cpp
+++ b/src/routing/shard_plan_groups.cpp
@@ -39,10 +39,10 @@
 
 } // namespace
 
-void shard_plan::plan(const route& by, list_plan& into)
+void shard_plan::plan(const route& matched_route, list_plan& into)
 {
     ++m_lists_planned;
-    into.owners.assign(by.fan_out.size(), {});
+    into.owners.assign(matched_route.fan_out.size(), {});
     const std::size_t own_zone = zone_index(m_zone_name);
     std::vector<planned_group> own;
     for (std::size_t zone = 0; zone < m_zones.size(); ++zone)
@@ -51,7 +51,7 @@
         {
             continue;
         }
-        const std::vector<planned_group> groups = plan_from(by, into, zone, m_zones[zone].region);
+        const std::vector<planned_group> groups = plan_from(matched_route, into, zone, m_zones[zone].region);
         for (const planned_group& item : groups)
         {
             const auto counting = static_cast<std::ptrdiff_t>(std::min(budgeted_owners, item.runner_candidates.size()));
@@ -68,7 +68,7 @@
     }
     if (own_zone == no_index)
     {
-        own = plan_from(by, into, no_index, region_index(m_region_name));
+        own = plan_from(matched_route, into, no_index, region_index(m_region_name));
     }
     for (const planned_group& item : own)
     {
@@ -87,7 +87,7 @@
 }
 
 /// @param zone where the asker is; @ref nowhere for one in no listed zone
-std::vector<shard_plan::planned_group> shard_plan::plan_from(const route& by, const list_plan& list,
+std::vector<shard_plan::planned_group> shard_plan::plan_from(const route& matched_route, const list_plan& list,
                                                              std::size_t zone, std::size_t own_region)
 {
     location_set near = 0;
@@ -116,7 +116,7 @@
     const auto near_cover = cover(near_zones, m_zones.size(), zone);
     for (std::size_t at = 0; at < near_cover.size(); ++at)
     {
-        add_owned_groups(by, at, near_cover[at], "", groups);
+        add_owned_groups(matched_route, at, near_cover[at], "", groups);
     }
     // Few entries beside the far replicas run them for all of the asking region, so that these keep
     // connections and know the latencies.
@@ -125,7 +125,7 @@
     const auto far_cover = cover(far_zones, m_zones.size(), no_index);
     for (std::size_t at = 0; at < far_cover.size(); ++at)
     {
-        add_owned_groups(by, at, far_cover[at], region_name + '/', groups);
+        add_owned_groups(matched_route, at, far_cover[at], region_name + '/', groups);
     }
     return groups;
 }
@@ -149,7 +149,7 @@
     }
 }
 
-void shard_plan::add_owned_groups(const route& by, std::size_t zone, const std::vector<std::size_t>& shards,
+void shard_plan::add_owned_groups(const route& matched_route, std::size_t zone, const std::vector<std::size_t>& shards,
                                   const std::string& salt, std::vector<planned_group>& into)
 {
     const std::vector<entry_index>& in_zone = m_zones[zone].entries;
@@ -161,7 +161,7 @@
     }
     // By position in the whole fan-out, so that a shard that comes or goes leaves the other groups as they
     // are.
-    const std::size_t all = by.fan_out.size();
+    const std::size_t all = matched_route.fan_out.size();
     const std::size_t size = group_size(all);
     const std::size_t groups = damped_group_count((shards.size() + size - 1) / size);
     const std::size_t most = (groups + entries.size() - 1) / entries.size();
@@ -176,7 +176,7 @@
         {
             item.shards.push_back(shards[next++]);
         }
-        item.runner_candidates = rank_entries(salt + m_zones[zone].name + '/' + by.fan_out[first].str(), entries);
+        item.runner_candidates = rank_entries(salt + m_zones[zone].name + '/' + matched_route.fan_out[first].str(), entries);
         // None owns more groups than its share.
         const auto owner = std::find_if(item.runner_candidates.begin(), item.runner_candidates.end(),
                                         [&](entry_index name)
--- a/src/routing/target_choice.cpp
+++ b/src/routing/target_choice.cpp
@@ -5,13 +5,13 @@
 namespace flaxtiller
 {
 
-service_name target_choice::next(const route& by)
+service_name target_choice::next(const route& matched_route)
 {
-    turn& here = m_turns[by.name];
-    if (!(here.targets == by.targets))
+    turn& here = m_turns[matched_route.name];
+    if (!(here.targets == matched_route.targets))
     {
-        here.targets = by.targets;
-        here.credit.assign(by.targets.size(), 0);
+        here.targets = matched_route.targets;
+        here.credit.assign(matched_route.targets.size(), 0);
     }
     std::int64_t total = 0;
     for (std::size_t i = 0; i < here.targets.size(); ++i)
--- a/src/shell/routed_front.hpp
+++ b/src/shell/routed_front.hpp
@@ -134,7 +134,7 @@
     void carry(const answer_request& action);
     void carry(const send_partial_outcome& action);
     void carry(const publish_crash_records& action);
-    void carry(const note_standing& action);
+    void carry(const report_quarantine_state& action);
     void on_reply(const start_routed_attempt& sent, time_point sent_at, http_exchange_result reply);
     void on_time();
     void schedule();
--- a/src/shell/routed_front_actions.cpp
+++ b/src/shell/routed_front_actions.cpp
@@ -65,15 +65,15 @@
     return "foreign";
 }
 
-const char* name_of(crash_ledger::standing standing)
+const char* name_of(crash_ledger::quarantine_state quarantine_state)
 {
-    switch (standing)
+    switch (quarantine_state)
     {
-    case crash_ledger::standing::suspect:
+    case crash_ledger::quarantine_state::suspect:
         return "suspect";
-    case crash_ledger::standing::quarantined:
+    case crash_ledger::quarantine_state::quarantined:
         return "quarantined";
-    case crash_ledger::standing::clear:
+    case crash_ledger::quarantine_state::clear:
         break;
     }
     return "clear";
@@ -289,12 +289,12 @@
     m_crashes(crash_news{action.records});
 }
 
-void routed_front::carry(const note_standing& action)
+void routed_front::carry(const report_quarantine_state& action)
 {
-    using standing = crash_ledger::standing;
-    if (action.standing != standing::clear)
+    using quarantine_state = crash_ledger::quarantine_state;
+    if (action.quarantine_state != quarantine_state::clear)
     {
-        m_metrics.add(action.standing == standing::suspect ? metrics::counter::requests_suspected
+        m_metrics.add(action.quarantine_state == quarantine_state::suspect ? metrics::counter::requests_suspected
                                                            : metrics::counter::requests_quarantined);
     }
     std::vector<backend_server_name> servers;
@@ -304,7 +304,7 @@
     }
     log(log_level::info, "request_standing",
         {{"fingerprint", action.request.str()},
-         {"standing", name_of(action.standing)},
+         {"standing", name_of(action.quarantine_state)},
          {"crashed", joined(servers)},
          {"crashes", servers.size()},
          {"last_ms_ago", action.record.age.ms()},
--- a/tests/src/unit-allowed-regions.cpp
+++ b/tests/src/unit-allowed-regions.cpp
@@ -415,7 +415,7 @@
         }
     }
 
-    void carry(const instance_name&, const note_standing&)
+    void carry(const instance_name&, const report_quarantine_state&)
     {
     }
 
--- a/tests/src/unit-quarantine.cpp
+++ b/tests/src/unit-quarantine.cpp
@@ -14,7 +14,7 @@
 
 using namespace flaxtiller;
 using namespace flaxtiller::test;
-using standing = crash_ledger::standing;
+using quarantine_state = crash_ledger::quarantine_state;
 
 namespace
 {
@@ -106,14 +106,14 @@
         for (const char* server : {"a", "b"})
         {
             ledger.on_crash(asked, crash_of(server), now);
-            CHECK(ledger.standing_of(asked, now) == standing::clear);
+            CHECK(ledger.quarantine_state_of(asked, now) == quarantine_state::clear);
         }
         ledger.on_crash(asked, crash_of("b"), now);
-        CHECK(ledger.standing_of(asked, now) == standing::clear);
+        CHECK(ledger.quarantine_state_of(asked, now) == quarantine_state::clear);
         ledger.on_crash(asked, crash_of("c"), now);
-        CHECK(ledger.standing_of(asked, now) == standing::suspect);
+        CHECK(ledger.quarantine_state_of(asked, now) == quarantine_state::suspect);
         ledger.on_crash(asked, crash_of("d", true), now);
-        CHECK(ledger.standing_of(asked, now) == standing::quarantined);
+        CHECK(ledger.quarantine_state_of(asked, now) == quarantine_state::quarantined);
         CHECK(ledger.quarantine_left(asked, now) == crash_ledger::quarantined_for);
     }
     SECTION("two lives of one backend server count as two")
@@ -122,19 +122,19 @@
         {
             ledger.on_crash(asked, {backend_server_name("a"), life, false}, now);
         }
-        CHECK(ledger.standing_of(asked, now) == standing::suspect);
+        CHECK(ledger.quarantine_state_of(asked, now) == quarantine_state::suspect);
     }
     SECTION("an answer clears it, and outweighs crashes that are told later")
     {
         ledger.merge(quarantined_record(asked), now);
         ledger.on_answer(asked, now);
-        CHECK(ledger.standing_of(asked, now) == standing::clear);
+        CHECK(ledger.quarantine_state_of(asked, now) == quarantine_state::clear);
         CHECK_FALSE(ledger.merge(quarantined_record(asked), now));
         ledger.on_crash(asked, crash_of("e", true), now);
-        CHECK(ledger.standing_of(asked, now) == standing::clear);
+        CHECK(ledger.quarantine_state_of(asked, now) == quarantine_state::clear);
         const time_point later = now + crash_ledger::cleared_for;
         CHECK(ledger.merge(quarantined_record(asked), later));
-        CHECK(ledger.standing_of(asked, later) == standing::quarantined);
+        CHECK(ledger.quarantine_state_of(asked, later) == quarantine_state::quarantined);
     }
     SECTION("an answer to a request of which no crash is known leaves nothing behind")
     {
@@ -146,8 +146,8 @@
     {
         ledger.merge(quarantined_record(asked), now);
         const time_point end = now + crash_ledger::quarantined_for;
-        CHECK(ledger.standing_of(asked, end - duration::from_ms(1)) == standing::quarantined);
-        CHECK(ledger.standing_of(asked, end) == standing::clear);
+        CHECK(ledger.quarantine_state_of(asked, end - duration::from_ms(1)) == quarantine_state::quarantined);
+        CHECK(ledger.quarantine_state_of(asked, end) == quarantine_state::clear);
         ledger.expire(end);
         CHECK(ledger.empty());
     }
@@ -163,8 +163,8 @@
             CHECK(other.merge(second, now) == (i == 0));
             CHECK(other.merge(first, now) == (i == 0));
         }
-        CHECK(ledger.standing_of(asked, now) == standing::quarantined);
-        CHECK(other.standing_of(asked, now) == standing::quarantined);
+        CHECK(ledger.quarantine_state_of(asked, now) == quarantine_state::quarantined);
+        CHECK(other.quarantine_state_of(asked, now) == quarantine_state::quarantined);
         CHECK(ledger.quarantine_left(asked, now) == other.quarantine_left(asked, now));
     }
     SECTION("the crash on trial is kept however many others there are")
@@ -174,7 +174,7 @@
             ledger.on_crash(asked, crash_of(std::to_string(i)), now);
         }
         ledger.on_crash(asked, crash_of("last", true), now);
-        CHECK(ledger.standing_of(asked, now) == standing::quarantined);
+        CHECK(ledger.quarantine_state_of(asked, now) == quarantine_state::quarantined);
         CHECK(ledger.record_of(asked, now).crashes.size() == crash_ledger::most_crashes_kept);
     }
     SECTION("of too many requests the least suspect are forgotten")
@@ -187,7 +187,7 @@
         }
         const time_point later = now + duration::from_ms(5000);
         CHECK(ledger.all(0, later).size() == crash_ledger::most_records);
-        CHECK(ledger.standing_of(asked, later) == standing::quarantined);
+        CHECK(ledger.quarantine_state_of(asked, later) == quarantine_state::quarantined);
     }
     SECTION("a record survives the wire")
     {
--- a/tests/src/unit-shard-plan.cpp
+++ b/tests/src/unit-shard-plan.cpp
@@ -21,9 +21,9 @@
     {
         auto placed = std::make_shared<placement>();
         placed->revision = 1;
-        by.name = "all";
-        by.host = "h";
-        by.path_prefix = "/all/";
+        matched_route.name = "all";
+        matched_route.host = "h";
+        matched_route.path_prefix = "/all/";
         for (int i = 0; i < shards; ++i)
         {
             placed_service item;
@@ -38,11 +38,11 @@
                 server.connection_limit = connection_limit;
                 item.shards[0].push_back(server);
             }
-            by.fan_out.push_back(item.definition.name);
+            matched_route.fan_out.push_back(item.definition.name);
             placed->services.emplace(item.definition.name, std::move(item));
         }
         m_view.placed = placed;
-        m_view.routes = std::make_shared<const route_table>(std::map<std::string, route>{{"all", by}});
+        m_view.routes = std::make_shared<const route_table>(std::map<std::string, route>{{"all", matched_route}});
         std::map<std::string, std::string> regions;
         for (const char* region : {"r1", "r2", "r3"})
         {
@@ -82,7 +82,7 @@
         return view;
     }
 
-    route by;
+    route matched_route;
     std::vector<entry_peer> all;
 
   private:
@@ -105,7 +105,7 @@
 {
     const plan_fixture site(20, 2, 12 * slots);
     shard_plan plan(site.view_of("r1-a0"));
-    CHECK(plan.groups_of(site.by).empty());
+    CHECK(plan.groups_of(site.matched_route).empty());
     CHECK_FALSE(plan.is_owned(service_name("s0")));
     CHECK(plan.linked_owners().empty());
 }
@@ -114,7 +114,7 @@
 {
     const plan_fixture site(90, 15, 66);
     shard_plan plan(site.view_of("r1-b0"));
-    const std::vector<shard_plan::group> groups = plan.groups_of(site.by);
+    const std::vector<shard_plan::group> groups = plan.groups_of(site.matched_route);
 
     SECTION("as many groups as shards in each, of entries beside the replicas")
     {
@@ -136,7 +136,7 @@
         for (const char* other : {"r1-a0", "r1-a7", "r1-b3"})
         {
             shard_plan same(site.view_of(other));
-            CHECK(same.groups_of(site.by) == groups);
+            CHECK(same.groups_of(site.matched_route) == groups);
         }
     }
     SECTION("no entry owns two groups while there are enough entries")
@@ -150,7 +150,7 @@
     SECTION("another region has owners of its own")
     {
         shard_plan far(site.view_of("r2-b0"));
-        for (const auto& item : far.groups_of(site.by))
+        for (const auto& item : far.groups_of(site.matched_route))
         {
             CHECK(item.runner_candidates.front().str().rfind("r2-a", 0) == 0);
         }
@@ -159,7 +159,7 @@
     {
         for (const auto& item : groups)
         {
-            const service_name service = site.by.fan_out[item.shards.front()];
+            const service_name service = site.matched_route.fan_out[item.shards.front()];
             CHECK(shard_plan(site.view_of(item.runner_candidates[0].str())).owns(service));
             CHECK(shard_plan(site.view_of(item.runner_candidates[1].str())).owns(service));
         }
@@ -180,7 +180,7 @@
         std::size_t moved = 0;
         for (std::size_t i = 0; i < groups.size(); ++i)
         {
-            moved += next.groups_of(site.by)[i].runner_candidates[0] != groups[i].runner_candidates[0] ? 1 : 0;
+            moved += next.groups_of(site.matched_route)[i].runner_candidates[0] != groups[i].runner_candidates[0] ? 1 : 0;
         }
         CHECK(moved >= 1);
         CHECK(moved <= 4);
@@ -198,7 +198,7 @@
         }
         view.placed = placed;
         shard_plan next(view);
-        const auto& changed = next.groups_of(site.by);
+        const auto& changed = next.groups_of(site.matched_route);
         CHECK(shards_in(changed) == 90);
         const auto far = std::find_if(changed.begin(), changed.end(),
                                       [](const shard_plan::group& item)
@@ -219,23 +219,23 @@
     group_choice choice;
     choice.configure(view);
     const time_point now{duration::from_ms(1000)};
-    const auto first = choice.groups_of(site.by, now).at(0);
+    const auto first = choice.groups_of(site.matched_route, now).at(0);
 
     SECTION("not to one that failed, for a while")
     {
         choice.failed(first.peer, now);
-        CHECK(choice.groups_of(site.by, now).at(0).peer != first.peer);
-        CHECK(choice.groups_of(site.by, now + group_choice::backoff).at(0).peer == first.peer);
+        CHECK(choice.groups_of(site.matched_route, now).at(0).peer != first.peer);
+        CHECK(choice.groups_of(site.matched_route, now + group_choice::backoff).at(0).peer == first.peer);
     }
     SECTION("nor to one that can't be reached")
     {
         view.unreachable = std::set<instance_name>{first.peer};
         choice.configure(view);
-        CHECK(choice.groups_of(site.by, now).at(0).peer != first.peer);
+        CHECK(choice.groups_of(site.matched_route, now).at(0).peer != first.peer);
     }
     SECTION("after one that failed, another owner is next")
     {
-        const auto next = choice.another(site.by, first.shards.front(), first.peer, now);
+        const auto next = choice.next_runner(site.matched_route, first.shards.front(), first.peer, now);
         REQUIRE(next);
         CHECK(*next != first.peer);
         CHECK(next->str().rfind("r1-a", 0) == 0);
@@ -243,7 +243,7 @@
     SECTION("an owner runs its own group itself")
     {
         choice.configure(site.view_of(first.peer.str()));
-        const auto groups = choice.groups_of(site.by, now);
+        const auto groups = choice.groups_of(site.matched_route, now);
         CHECK(groups.size() == 9);
     }
 }
@@ -255,7 +255,7 @@
         const plan_fixture site(90, entries_per_zone, 2 * slots);
         routing_view view = site.view_of("r1-b0");
         shard_plan plan(view);
-        const std::vector<shard_plan::group> groups = plan.groups_of(site.by);
+        const std::vector<shard_plan::group> groups = plan.groups_of(site.matched_route);
         REQUIRE(plan.lists_planned() == 1);
         const auto change_first = [&](auto edit)
         {
@@ -279,7 +279,7 @@
                 replicas.back().name = backend_server_name("another");
             });
         CHECK(plan.lists_planned() == 1);
-        CHECK(plan.groups_of(site.by) == groups);
+        CHECK(plan.groups_of(site.matched_route) == groups);
 
         // The zone loses its last replica.
         change_first(
@@ -289,7 +289,7 @@
                 replicas.back().leaving = true;
             });
         CHECK(plan.lists_planned() == 2);
-        CHECK(shard_plan(view).groups_of(site.by) == plan.groups_of(site.by));
+        CHECK(shard_plan(view).groups_of(site.matched_route) == plan.groups_of(site.matched_route));
 
         // An entry goes: the plan is as one made from scratch.
         std::vector<entry_peer> peers = *view.peers;
@@ -297,8 +297,8 @@
         view.peers = peers;
         plan.update(view);
         CHECK(plan.lists_planned() == 3);
-        CHECK(shard_plan(view).groups_of(site.by) == plan.groups_of(site.by));
-        for (const service_name& service : site.by.fan_out)
+        CHECK(shard_plan(view).groups_of(site.matched_route) == plan.groups_of(site.matched_route));
+        for (const service_name& service : site.matched_route.fan_out)
         {
             CHECK(shard_plan(view).owners_of(service) == plan.owners_of(service));
         }
@@ -312,7 +312,7 @@
     std::map<std::string, route> routes;
     for (int i = 0; i < 20; ++i)
     {
-        route item = site.by;
+        route item = site.matched_route;
         item.name = "route-" + std::to_string(i);
         item.path_prefix = "/" + item.name + "/";
         routes.emplace(item.name, item);
