--- a/include/flaxtiller/routing/router.hpp
+++ b/include/flaxtiller/routing/router.hpp
@@ -136,7 +136,7 @@
         /// Whether the entry that asked has it already.
         bool is_reported = false;
         /// Set once it is run here.
-        scheduler_index scheduler = 0;
+        scheduler_index scheduler_id = 0;
         dispatch::subquery_id subquery = 0;
         bool is_finished = false;
         int attempts = 0;
@@ -235,7 +235,7 @@
 
     struct started
     {
-        scheduler_index scheduler = 0;
+        scheduler_index scheduler_id = 0;
         dispatch::attempt_id attempt = 0;
         dispatch::subquery_id subquery = 0;
         request_number request = 0;
--- a/src/routing/caller_admission.cpp
+++ b/src/routing/caller_admission.cpp
@@ -31,16 +31,16 @@
 void caller_admission::turn_away(request_number number, routed_end end, const std::string& route,
                                  std::optional<rate_limiter::decision> over_limit)
 {
-    routed_outcome outcome;
-    outcome.end = end;
-    outcome.route = route;
-    outcome.revision = m_revision;
+    routed_outcome result;
+    result.end = end;
+    result.route = route;
+    result.revision = m_revision;
     if (over_limit)
     {
-        outcome.retry_after = over_limit->retry_after;
+        result.retry_after = over_limit->retry_after;
         ++m_counted[over_limit->team].over_limit;
     }
-    m_actions.emplace_back(reject_request{number, std::move(outcome), std::move(over_limit)});
+    m_actions.emplace_back(reject_request{number, std::move(result), std::move(over_limit)});
 }
 
 void caller_admission::arrive(request_number number, routed_request request, const std::string& key,
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -209,7 +209,7 @@
 {
     service_scheduler& item = m_service_schedulers.at(asked.scheduler);
     item.scheduler.detach(asked.subquery);
-    note_due(asked.scheduler, item);
+    note_due(asked.scheduler_id, item);
 }
 
 void router::run_locally(request_number number, const std::vector<std::size_t>& wanted, bool again,
@@ -225,10 +225,10 @@
     for (const std::size_t at : wanted)
     {
         part& item = opened.parts[at];
-        item.scheduler = scheduler_index_of(item.service);
+        item.scheduler_id = scheduler_index_of(item.service);
         item.subquery = m_next_subquery++;
         m_subquery_owners.emplace(item.subquery, subquery_owner{number, at});
-        affected_schedulers.push_back(item.scheduler);
+        affected_schedulers.push_back(item.scheduler_id);
     }
     for (const std::size_t at : wanted)
     {
@@ -268,7 +268,7 @@
     {
         m_route_latencies.note(ended.matched_route->name, ended.list, now - ended.since);
     }
-    m_number_of.erase({ended.scheduler, ended.attempt});
+    m_number_of.erase({ended.scheduler_id, ended.attempt});
     end_trial(ended.subquery, now);
     if (result.hung_up)
     {
@@ -288,11 +288,11 @@
             opened.progress->any_answered = true;
         }
     }
-    const auto at = m_service_schedulers.find(ended.scheduler);
+    const auto at = m_service_schedulers.find(ended.scheduler_id);
     if (at != m_service_schedulers.end())
     {
         at->second.scheduler.on_result(ended.attempt, result, now);
-        collect(ended.scheduler, now);
+        collect(ended.scheduler_id, now);
     }
     process_held(now);
     publish_crash_changes(now);
--- a/src/routing/router_admission.cpp
+++ b/src/routing/router_admission.cpp
@@ -10,13 +10,13 @@
 
 void router::refuse(request_number number, const route* matched_route, missing_reason reason, duration retry_after)
 {
-    routed_outcome outcome;
-    outcome.end = routed_end::refused;
-    outcome.reason = reason;
-    outcome.retry_after = std::max(m_options.min_retry_after, retry_after);
-    outcome.route = matched_route == nullptr ? std::string() : matched_route->name;
-    outcome.revision = m_view.placed ? m_view.placed->revision : 0;
-    m_actions.emplace_back(answer_request{number, std::move(outcome)});
+    routed_outcome result;
+    result.end = routed_end::refused;
+    result.reason = reason;
+    result.retry_after = std::max(m_options.min_retry_after, retry_after);
+    result.route = matched_route == nullptr ? std::string() : matched_route->name;
+    result.revision = m_view.placed ? m_view.placed->revision : 0;
+    m_actions.emplace_back(answer_request{number, std::move(result)});
 }
 
 /// The entry that asked may not know yet, so it is told why.
@@ -149,10 +149,10 @@
     const auto matched_route = found ? route_for(request->team, found) : nullptr;
     if (!matched_route)
     {
-        routed_outcome outcome;
-        outcome.end = routed_end::no_route;
-        outcome.revision = m_view.placed->revision;
-        m_actions.emplace_back(answer_request{number, std::move(outcome)});
+        routed_outcome result;
+        result.end = routed_end::no_route;
+        result.revision = m_view.placed->revision;
+        m_actions.emplace_back(answer_request{number, std::move(result)});
         return;
     }
     const std::uint64_t list = matched_route->fans_out() ? list_id(matched_route->fan_out) : 0;
--- a/src/routing/router_answers.cpp
+++ b/src/routing/router_answers.cpp
@@ -40,10 +40,10 @@
     // Also a failure is the backend server's word: it is passed on where no success came.
     if (asked.answer)
     {
-        routed_outcome outcome;
-        outcome.end = routed_end::passed_on;
-        outcome.answer = asked.answer;
-        finish(number, opened, std::move(outcome));
+        routed_outcome result;
+        result.end = routed_end::passed_on;
+        result.answer = asked.answer;
+        finish(number, opened, std::move(result));
         return;
     }
     fail(number, opened, opened.reason == missing_reason::late);
@@ -89,15 +89,15 @@
 
 routed_outcome router::merged_so_far(const open_request& opened) const
 {
-    routed_outcome outcome;
-    outcome.end = routed_end::merged;
+    routed_outcome result;
+    result.end = routed_end::merged;
     std::vector<std::string_view> bodies;
     for (const part& asked : opened.parts)
     {
         if (asked.has_succeeded() && !asked.is_reported)
         {
             bodies.emplace_back(asked.answer->body);
-            outcome.signatures.push_back(asked.answer->signature);
+            result.signatures.push_back(asked.answer->signature);
         }
     }
     for (const group& asked : opened.groups)
@@ -105,36 +105,36 @@
         if (!asked.outcome.signatures.empty())
         {
             bodies.emplace_back(asked.outcome.merged);
-            outcome.signatures.insert(outcome.signatures.end(), asked.outcome.signatures.begin(),
+            result.signatures.insert(result.signatures.end(), asked.outcome.signatures.begin(),
                                    asked.outcome.signatures.end());
-            outcome.delegates.push_back(asked.answered_by);
+            result.delegates.push_back(asked.answered_by);
         }
     }
     // Not the length of the list of missing ones: what is named as in must be true whatever other entries say
     // of the rest.
-    outcome.missing = static_cast<int>(opened.parts.size() - succeeded_parts(opened));
-    outcome.merged = top_records(bodies, static_cast<std::size_t>(opened.matched_route->top_records));
-    return outcome;
+    result.missing = static_cast<int>(opened.parts.size() - succeeded_parts(opened));
+    result.merged = top_records(bodies, static_cast<std::size_t>(opened.matched_route->top_records));
+    return result;
 }
 
 /// The entry that asked sees by this that its request is being run, and has the parts if the rest comes late.
 void router::send_progress(request_number number, open_request& opened, time_point now)
 {
-    routed_outcome outcome = merged_so_far(opened);
+    routed_outcome result = merged_so_far(opened);
     const bool first = opened.progress_at != time_point::never();
-    if (!first && outcome.signatures.empty())
+    if (!first && result.signatures.empty())
     {
         // Nothing new.
         return;
     }
-    outcome.is_progress = true;
-    describe(opened, outcome);
-    outcome.took = now - opened.arrived_at;
+    result.is_progress = true;
+    describe(opened, result);
+    result.took = now - opened.arrived_at;
     for (part& asked : opened.parts)
     {
         asked.is_reported = asked.has_succeeded();
     }
-    m_actions.emplace_back(send_partial_outcome{number, std::move(outcome)});
+    m_actions.emplace_back(send_partial_outcome{number, std::move(result)});
 }
 
 void router::end_at_deadline(request_number number, open_request& opened)
@@ -169,19 +169,19 @@
                                      {
                                          return !asked.is_finished;
                                      });
-    routed_outcome outcome;
-    outcome.end = routed_end::refused;
-    const bool is_delegated = std::any_of(opened.groups.begin(), opened.groups.end(),
+    routed_outcome result;
+    result.end = routed_end::refused;
+    const bool is_delegation_pending = std::any_of(opened.groups.begin(), opened.groups.end(),
                                              [](const group& asked)
                                              {
                                                  return !asked.is_finished;
                                              });
-    if (opened.may_have_run || (running && opened.attempts > 0) || is_delegated)
+    if (opened.may_have_run || (running && opened.attempts > 0) || is_delegation_pending)
     {
-        outcome.end = late ? routed_end::late : routed_end::failed;
+        result.end = late ? routed_end::late : routed_end::failed;
     }
-    outcome.retry_after = std::max(opened.retry_after, m_options.min_retry_after);
-    finish(number, opened, std::move(outcome));
+    result.retry_after = std::max(opened.retry_after, m_options.min_retry_after);
+    finish(number, opened, std::move(result));
 }
 
 std::vector<std::size_t> router::missing_shards(const open_request& opened)
--- a/src/routing/router_groups.cpp
+++ b/src/routing/router_groups.cpp
@@ -383,7 +383,7 @@
     asked.size = size;
     asked.held = opened.held;
     asked.fan_out = opened.progress;
-    m_service_schedulers.at(wanted.scheduler).scheduler.submit(asked, now);
+    m_service_schedulers.at(wanted.scheduler_id).scheduler.submit(asked, now);
 }
 
 void router::abandon_delegations(const open_request& opened, bool stops)
@@ -441,8 +441,8 @@
         m_subquery_owners.erase(asked.subquery);
         if (!asked.is_finished && asked.subquery != 0)
         {
-            m_service_schedulers.at(asked.scheduler).scheduler.abandon(asked.subquery, now);
-            collect(asked.scheduler, now);
+            m_service_schedulers.at(asked.scheduler_id).scheduler.abandon(asked.subquery, now);
+            collect(asked.scheduler_id, now);
         }
     }
 }
--- a/src/routing/router_suspects.cpp
+++ b/src/routing/router_suspects.cpp
@@ -31,7 +31,7 @@
 
 std::int64_t router::born_ms_of(const started& attempt) const
 {
-    const auto at = m_service_schedulers.find(attempt.scheduler);
+    const auto at = m_service_schedulers.find(attempt.scheduler_id);
     if (at == m_service_schedulers.end())
     {
         return 0;
@@ -167,9 +167,9 @@
     {
         if (!item.is_finished && item.subquery != 0)
         {
-            service_scheduler& runs = m_service_schedulers.at(item.scheduler);
+            service_scheduler& runs = m_service_schedulers.at(item.scheduler_id);
             runs.scheduler.hold(item.subquery);
-            note_due(item.scheduler, runs);
+            note_due(item.scheduler_id, runs);
         }
     }
 }
@@ -183,8 +183,8 @@
     {
         if (!item.is_finished && item.subquery != 0)
         {
-            m_service_schedulers.at(item.scheduler).scheduler.release(item.subquery, now);
-            affected_schedulers.push_back(item.scheduler);
+            m_service_schedulers.at(item.scheduler_id).scheduler.release(item.subquery, now);
+            affected_schedulers.push_back(item.scheduler_id);
         }
     }
     // Collected only after all are released: an early end of one part must not answer before.
@@ -237,7 +237,7 @@
                                   [&](const part& item)
                                   {
                                       return !item.is_finished && item.subquery != 0 &&
-                                             !m_service_schedulers.at(item.scheduler).scheduler.is_held_back(item.subquery);
+                                             !m_service_schedulers.at(item.scheduler_id).scheduler.is_held_back(item.subquery);
                                   });
 }
 
@@ -300,7 +300,7 @@
 bool router::can_run_trial(const part& item, const std::shared_ptr<const region_set>& regions,
                           time_point now) const
 {
-    const dispatch::scheduler& scheduler = m_service_schedulers.at(item.scheduler).scheduler;
+    const dispatch::scheduler& scheduler = m_service_schedulers.at(item.scheduler_id).scheduler;
     duration retry_after{};
     return scheduler.is_held_back(item.subquery) &&
            scheduler.why_unavailable(0, regions, now, retry_after) == missing_reason::none;
@@ -315,7 +315,7 @@
         if (!item.is_finished && item.subquery != 0 && can_run_trial(item, opened.regions, now))
         {
             m_trial = trial{number, item.subquery};
-            const scheduler_index at = item.scheduler;
+            const scheduler_index at = item.scheduler_id;
             m_service_schedulers.at(at).scheduler.try_once(item.subquery, now);
             collect(at, now);
             return true;
