--- a/include/flaxtiller/routing/backend_answer.hpp
+++ b/include/flaxtiller/routing/backend_answer.hpp
@@ -7,16 +7,16 @@
 namespace flaxtiller
 {
 
-/// @brief Header fields in the order in which they came.
+/// @brief HTTP header fields (name, value) in the order of receipt.
 using header_list = std::vector<std::pair<std::string, std::string>>;
 
-/// @brief A backend server's whole answer to a routed request.
+/// @brief The complete HTTP answer of a backend server to a routed request.
 struct backend_answer
 {
     int status = 0;
-    /// Without those that concern one connection only.
+    /// The end-to-end header fields; hop-by-hop fields are removed.
     header_list headers;
-    /// The backend server's signature of this answer.
+    /// The signature of this answer, made by the backend server.
     std::string signature;
     std::string body;
 
--- a/include/flaxtiller/routing/caller_admission.hpp
+++ b/include/flaxtiller/routing/caller_admission.hpp
@@ -16,23 +16,23 @@
 namespace flaxtiller
 {
 
-/// @brief Give the request to the router.
+/// @brief Action: pass the request to the router.
 struct admit_request
 {
     request_number request = 0;
     std::shared_ptr<const routed_request> admitted;
 };
 
-/// @brief Refuse the request; it was not run and never will be.
+/// @brief Action: refuse the request. No backend server has run it or will run it.
 struct reject_request
 {
     request_number request = 0;
     routed_outcome outcome;
-    /// Of a request over its team's limit: what decided it.
+    /// The rate limiter's decision; set if the request exceeded its team's limit.
     std::optional<rate_limiter::decision> over_limit;
 };
 
-/// @brief Send this to the control replica that keeps the limits.
+/// @brief Action: send this usage report to the rate limit coordinator (a control replica).
 struct send_limit_report
 {
     limit_report report;
@@ -40,43 +40,47 @@
 
 using admission_action = std::variant<admit_request, reject_request, send_limit_report>;
 
-/// @brief Decides of each caller's request, before anything else of it is decided, whose it is and whether
-/// its team may send it now. What other entries ask for was admitted there. Deterministic.
+/// @brief Authenticates each caller's request and applies its team's rate limit, before the request is
+/// routed.
+///
+/// Requests that another entry instance delegates to this one are not checked here: the delegating entry has
+/// admitted them. The class is deterministic: it reads no clock and starts no I/O. Events go in through its
+/// member functions, and @ref take_actions returns the actions to carry out.
 class caller_admission
 {
   public:
-    /// @brief Another revision.
+    /// @brief Takes over a new configuration revision or a new number of entry instances.
     void configure(const routing_view& view);
 
-    /// @brief A caller asks.
-    /// @param key as it shows it; empty for none. It is not kept.
+    /// @brief A caller sent a request.
+    /// @param key the API key that the caller presented; empty for none. The key is not stored.
     void arrive(request_number number, routed_request request, const std::string& key, time_point now);
 
-    /// @brief A caller went away.
+    /// @brief The caller closed its connection; its request is dropped if it still awaits a decision.
     void caller_gone(request_number number);
 
-    /// @brief The control replica that keeps the limits lives.
+    /// @brief A sign of life of the rate limit coordinator was received.
     void on_keeper_heard(time_point now) noexcept
     {
         m_limiter.on_keeper_heard(now);
     }
 
-    /// @brief That replica's word.
+    /// @brief A reply of the rate limit coordinator was received.
     void on_limit_word(const limit_word& word, time_point now);
 
-    /// @brief Time has passed.
+    /// @brief Handles everything that is due at @a now.
     void on_time(time_point now);
 
-    /// @return what must be done now, in this order
+    /// @return the actions to carry out now, in this order
     std::vector<admission_action> take_actions(time_point now);
 
-    /// @return when @ref on_time is next needed
+    /// @return the time at which @ref on_time must be called next
     time_point next_time() const noexcept
     {
         return m_limiter.next_time();
     }
 
-    /// @brief Requests of one team since the beginning.
+    /// @brief Numbers of requests of one team since the start of the process.
     struct counts
     {
         std::uint64_t admitted = 0;
@@ -85,7 +89,7 @@
         bool operator==(const counts&) const = default;
     };
 
-    /// @return what became of the requests of each team that is declared
+    /// @return the counters of each declared team
     const std::map<team_name, counts>& counted() const noexcept
     {
         return m_counted;
@@ -108,7 +112,7 @@
     std::shared_ptr<const team_table> m_teams;
     std::int64_t m_revision = 0;
     rate_limiter m_limiter;
-    /// Requests that wait for that replica's word.
+    /// Requests that wait for a reply of the rate limit coordinator.
     std::unordered_map<request_number, held_request> m_held;
     std::map<team_name, counts> m_counted;
     std::vector<admission_action> m_actions;
--- a/include/flaxtiller/routing/entry_peer.hpp
+++ b/include/flaxtiller/routing/entry_peer.hpp
@@ -7,13 +7,13 @@
 namespace flaxtiller
 {
 
-/// @brief Another entry instance, which can run a fan-out on this one's behalf.
+/// @brief Another entry instance, to which this one can delegate shards of a fan-out.
 struct entry_peer
 {
     instance_name name;
     std::string region;
     std::string availability_zone;
-    /// IP number and port of its link.
+    /// IP address and port at which the peer accepts links.
     std::string address;
 
     auto operator<=>(const entry_peer&) const = default;
--- a/include/flaxtiller/routing/group_choice.hpp
+++ b/include/flaxtiller/routing/group_choice.hpp
@@ -10,16 +10,18 @@
 namespace flaxtiller
 {
 
-/// @brief Decides which entry runs each group of a fan-out now: the first one of the @ref shard_plan that can
-/// be reached and didn't fail lately. Deterministic.
+/// @brief Chooses the entry instance that runs each group of shards of a fan-out.
+///
+/// The choice is the most preferred candidate of the @ref shard_plan that is reachable and not in back-off
+/// after a recent failure. Deterministic.
 class group_choice
 {
   public:
-    /// How long an entry that failed or was silent gets no groups; doubled with each further failure.
+    /// An entry that failed or did not answer gets no groups for this long; each further failure doubles it.
     static constexpr duration backoff = duration::from_ms(1000);
     static constexpr duration max_backoff = duration::from_ms(8000);
 
-    /// @brief Shards that another entry shall run.
+    /// @brief Shards to delegate to another entry.
     struct group
     {
         instance_name peer;
@@ -27,24 +29,25 @@
         std::vector<std::size_t> shards;
     };
 
-    /// @brief Other routes, backend servers or peers.
+    /// @brief Takes over a new view: routes, backend servers, peers and their reachability.
     void configure(const routing_view& view);
 
-    /// @return what other entries shall run of a fan-out by this route; all other shards are run here
+    /// @return the groups of the route's fan-out to delegate to other entries; this instance runs all other
+    /// shards
     std::vector<group> groups_of(const route& matched_route, time_point now);
 
-    /// @return whom to ask after @a failed: another entry that may run the shards, or this one's own name if
-    /// it is the next; nothing if there is none
+    /// @return the entry to try after @a failed for the group that begins with @a first_shard: another
+    /// candidate, or this instance's own name if it is next; nothing if no candidate is left
     std::optional<instance_name> next_runner(const route& matched_route, std::size_t first_shard,
-                                         const instance_name& failed, time_point now);
+                                             const instance_name& failed, time_point now);
 
-    /// @brief An entry failed to answer in time.
+    /// @brief Records that an entry failed or did not answer in time, and starts or extends its back-off.
     void failed(const instance_name& peer, time_point now);
 
-    /// @brief An entry answered.
+    /// @brief Records that an entry answered; this ends its back-off.
     void answered(const instance_name& peer);
 
-    /// @return the plan in force
+    /// @return the current plan
     const shard_plan& plan() const noexcept
     {
         return m_plan;
@@ -64,6 +67,7 @@
     };
 
     std::map<instance_name, failures> m_backoffs;
+    /// The candidate that the next round-robin choice starts with.
     std::size_t m_next_start = 0;
 };
 
--- a/include/flaxtiller/routing/place_set.hpp
+++ b/include/flaxtiller/routing/place_set.hpp
@@ -6,18 +6,19 @@
 namespace flaxtiller::detail
 {
 
-/// Availability zones or regions, by their positions in the order of their names.
+/// A set of locations (availability zones or regions) as a bit mask. A location is numbered by its position
+/// in the alphabetical order of the names.
 using location_set = std::uint64_t;
 
 inline constexpr std::size_t max_locations = 64;
 
-/// @return whether the place is in the set
+/// @return whether the set contains the location
 inline bool holds(location_set places, std::size_t place) noexcept
 {
     return place < max_locations && ((places >> place) & 1U) != 0;
 }
 
-/// @return the set of this place; the empty set for a place beyond the last one
+/// @return the set of this one location; the empty set if the number is @ref max_locations or greater
 inline location_set only(std::size_t place) noexcept
 {
     return place < max_locations ? location_set{1} << place : 0;
--- a/include/flaxtiller/routing/route.hpp
+++ b/include/flaxtiller/routing/route.hpp
@@ -14,35 +14,35 @@
 namespace flaxtiller
 {
 
-/// @brief Where requests to one host and path prefix go, and under which limits.
+/// @brief Maps requests to one host and path prefix to services, with time-outs and limits.
 ///
-/// A route has either @ref targets, of which each request goes to one, or @ref fan_out, of which each request
-/// goes to all.
+/// A route has either @ref targets (each request goes to one of these services) or @ref fan_out (each request
+/// goes to all of these services, each of which holds one shard, and the answers are merged).
 struct route
 {
     std::string name;
     std::string host;
-    /// Begins and ends with a slash.
+    /// The path prefix begins and ends with a slash.
     std::string path_prefix;
-    /// Whether a request may run more than once.
+    /// Whether backend servers may run a request more than once.
     bool repeatable = true;
-    /// A request is answered within this, whatever came back.
+    /// The caller gets an answer or an error within this time.
     duration timeout = duration::from_ms(1000);
-    /// The latency objective: an answer within it has its full value. Zero for none.
+    /// The latency objective: the time within which callers want their answer. Zero for none.
     duration objective{};
-    /// 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     int priority = 0;
-    /// Backend servers that one request may go to, for each service of a fan-out.
+    /// The greatest number of backend servers that one request may be sent to, for each service of a fan-out.
     int most_attempts = 2;
     std::vector<weighted_service> targets;
     std::vector<service_name> fan_out;
-    /// Of a fan-out's answers, this many of the greatest records are returned.
+    /// A merged answer holds this many of the greatest records of a fan-out's answers.
     int top_records = 10;
-    /// An answer that covers a smaller share of the fan-out is a failure.
+    /// The smallest share of a fan-out's shards that an answer must cover; with fewer, the request fails.
     double least_share = 1.0;
-    /// Where its requests may be run and passed on to.
+    /// The regions in which requests may be run, and to whose entries they may be delegated.
     region_set allowed_regions;
-    /// Whether callers need no key where teams are declared.
+    /// Whether callers without an API key are admitted although teams are declared.
     bool allows_anonymous = false;
 
     bool operator==(const route&) const = default;
@@ -54,12 +54,12 @@
     }
 };
 
-/// @return the identity of a list of shards, equal on all instances; never 0
+/// @return a hash that identifies a list of shards, equal on all instances; never 0
 std::uint64_t list_id(const std::vector<service_name>& shards);
 
 void to_json(nlohmann::json& j, const route& value);
 
-/// @brief Reads one route; every fault goes to the reader's findings.
+/// @brief Reads one route from JSON; every error is added to the reader's findings.
 void read_item(json_reader& reader, route& into);
 
 } // namespace flaxtiller
--- a/include/flaxtiller/routing/route_sizes.hpp
+++ b/include/flaxtiller/routing/route_sizes.hpp
@@ -11,39 +11,40 @@
 namespace flaxtiller
 {
 
-/// @brief How long the parts of each fan-out route take, relative to all parts of the same list of shards.
+/// @brief Estimates the latency of each fan-out route's parts (the requests to single shards), relative to
+/// all parts of the same list of shards.
 ///
-/// Routes that share their shards may differ much in the work that they ask for. An attempt of a route with
-/// small parts is late long before one of a route with large parts is. What differs is learned over all
-/// shards of the list, so that a few fan-outs suffice, also where an entry sees little of each shard.
-/// Deterministic.
+/// Routes with the same shards may cause very different amounts of work, so an attempt for a cheap route is
+/// overdue much earlier than one for an expensive route. The relative latency is estimated over all shards of
+/// the list. A few fan-outs suffice then, even if an entry sends few requests to each shard. Deterministic.
 class route_latencies
 {
   public:
-    /// Parts to be seen of a route before its size counts: two or three fan-outs over 20 shards.
+    /// A route's estimate is used after this many parts: two or three fan-outs over 20 shards.
     static constexpr std::size_t min_samples = 50;
-    /// No size is beyond this factor, so that a few odd latencies don't make attempts late at once or never.
+    /// Estimates are limited to this factor and its inverse: otherwise a few outliers would make attempts
+    /// overdue at once or never.
     static constexpr double max_factor = 8.0;
-    /// With more routes or lists than this, all is forgotten and learned anew: a bound for configurations in
-    /// which routes come and go.
+    /// All estimates are discarded when this many routes or lists are tracked. This bounds the memory where
+    /// routes are added and removed often.
     static constexpr std::size_t max_tracked_routes = 512;
 
-    /// @brief A part was answered.
-    /// @param list the identity of the route's list of shards
+    /// @brief Records the latency of an answered part.
+    /// @param list the @ref list_id of the route's shards
     /// @complexity O(log(routes))
     void note(const std::string& route, std::uint64_t list, duration latency);
 
-    /// @return how long a part of the route takes, as a multiple of what is usual for the list; 1 if unknown
+    /// @return the usual latency of the route's parts as a multiple of the list's usual latency; 1 if unknown
     double relative_latency(const std::string& route, std::uint64_t list) const;
 
-    /// @return how many routes something is known of
+    /// @return the number of routes with recorded latencies
     std::size_t tracked_routes() const noexcept
     {
         return m_routes.size();
     }
 
   private:
-    /// A moving average of the logarithms of latencies: a few stragglers hardly move it.
+    /// A moving average of the logarithms of latencies; stragglers have little influence on it.
     struct latency_average
     {
         double log_ms = 0.0;
--- a/include/flaxtiller/routing/route_table.hpp
+++ b/include/flaxtiller/routing/route_table.hpp
@@ -12,22 +12,23 @@
 namespace flaxtiller
 {
 
-/// @brief Finds the route of a request: that of its host whose prefix begins the path and is longest.
+/// @brief Finds the route of a request: among the routes of its host, the one with the longest path prefix
+/// that matches.
 class route_table
 {
   public:
     route_table() = default;
 
-    /// @param routes by name; no two share host and prefix
+    /// @param routes the routes by name; no two routes have the same host and prefix
     explicit route_table(const std::map<std::string, route>& routes);
 
-    /// @param host as the caller sent it; a port and the case don't count
-    /// @param target the path, perhaps with a query
-    /// @return the route, or nothing
+    /// @param host the Host header field; its port and its case are ignored
+    /// @param target the request target: a path with an optional query
+    /// @return the route, or null if none matches
     /// @complexity O(slashes in @a target)
     std::shared_ptr<const route> find(std::string_view host, std::string_view target) const;
 
-    /// @return the routes whose requests go to all of several services
+    /// @return the routes that fan out, see @ref route::fans_out
     const std::vector<std::shared_ptr<const route>>& fan_outs() const noexcept;
 
   private:
--- a/include/flaxtiller/routing/routed_json.hpp
+++ b/include/flaxtiller/routing/routed_json.hpp
@@ -9,7 +9,8 @@
 namespace flaxtiller
 {
 
-// What entries say to one another of routed requests. Texts may hold any bytes: the form is CBOR.
+// The representation of delegated requests and of their outcomes in messages between entries. Strings may
+// hold arbitrary bytes, so the messages are encoded as CBOR.
 
 void to_json(nlohmann::json& j, const entry_peer& value);
 void from_json(const nlohmann::json& j, entry_peer& value);
@@ -17,7 +18,7 @@
 void to_json(nlohmann::json& j, const routed_request& value);
 void from_json(const nlohmann::json& j, routed_request& value);
 
-/// @brief An answer that one backend server gave isn't carried: only fan-outs travel between entries.
+/// @brief Converts an outcome without @ref routed_outcome::answer, since only fan-outs are delegated.
 void to_json(nlohmann::json& j, const routed_outcome& value);
 void from_json(const nlohmann::json& j, routed_outcome& value);
 
--- a/include/flaxtiller/routing/routed_outcome.hpp
+++ b/include/flaxtiller/routing/routed_outcome.hpp
@@ -14,54 +14,56 @@
 namespace flaxtiller
 {
 
-/// @brief How a routed request ends.
+/// @brief The kinds of final answers to a routed request.
 enum class routed_end
 {
-    /// One backend server's answer, passed on as it is.
+    /// The answer of one backend server, forwarded unchanged.
     passed_on,
-    /// The greatest records of several answers.
+    /// The greatest records of the answers of several backend servers.
     merged,
-    /// No route fits.
+    /// No route matches the request.
     no_route,
-    /// The caller shows no key, or one that no team holds.
+    /// The caller presented no API key, or a key that belongs to no team.
     unauthorized,
-    /// Not run: its team is over its limit.
+    /// Not run: the team exceeded its rate limit.
     over_limit,
-    /// Not run, and it never will be; the caller may come back.
+    /// Not run, and will not be run; the caller may retry.
     refused,
-    /// It may have run; no whole answer came.
+    /// The request may have run, but no complete answer was received.
     failed,
-    /// It may have run; no whole answer came in time.
+    /// The request may have run, but no complete answer was received before the deadline.
     late,
 };
 
-/// @brief The final answer to a routed request, and what led to it.
+/// @brief The answer to a routed request, with details for logs, metrics and a delegating entry.
 struct routed_outcome
 {
     routed_end end = routed_end::refused;
-    /// Whether it is what is in so far; a later one brings the rest.
+    /// Whether this is a partial outcome; a later outcome holds the remaining parts.
     bool is_progress = false;
+    /// The forwarded answer; set for @ref routed_end::passed_on.
     std::shared_ptr<const backend_answer> answer;
-    /// Of a merged answer: the body, the signatures of the parts, and how many parts are missing.
+    /// For a merged answer: the body, the signatures of the parts, and the number of missing parts.
     std::string merged;
     std::vector<std::string> signatures;
     int missing = 0;
-    /// The parts that are missing, by their positions in the fan-out and by their services.
+    /// The missing parts, as positions in the fan-out and as services.
     std::vector<std::size_t> missing_shards;
     std::vector<service_name> missing_services;
     missing_reason reason = missing_reason::none;
     duration retry_after{};
-    /// The route that was used; empty if none fits.
+    /// The name of the matched route; empty if none matches.
     std::string route;
-    /// The configuration's revision by which it was decided.
+    /// The configuration revision that the request was routed with.
     std::int64_t revision = 0;
-    /// Attempts on backend servers.
+    /// The number of attempts on backend servers.
     int attempts = 0;
-    /// The entries that ran some of it on this one's behalf.
+    /// The entries to which shards were delegated and whose results are in the answer.
     std::vector<instance_name> delegates;
-    /// How long it took, for an entry that asked.
+    /// The time from arrival to this outcome; set for a delegating entry.
     duration took{};
-    /// Set where backend servers crashed under it, for an entry that asked.
+    /// The request's crash record, for a delegating entry; set if backend servers crashed while running the
+    /// request.
     std::vector<crash_record> crashes;
 };
 
--- a/include/flaxtiller/routing/routed_request.hpp
+++ b/include/flaxtiller/routing/routed_request.hpp
@@ -13,43 +13,44 @@
 namespace flaxtiller
 {
 
-/// @brief A caller's request that a route passes on as it is.
+/// @brief A caller's request that is forwarded to backend servers unchanged, or delegated to another entry.
 struct routed_request
 {
-    /// The caller's own id; backend servers get the same.
+    /// The caller's request id, forwarded to backend servers.
     std::string id;
     std::string method;
     std::string host;
     /// Path and query.
     std::string target;
-    /// Without those that concern one connection only, and without deadline.
+    /// The end-to-end header fields without the deadline.
     header_list headers;
     std::string body;
     /// The caller's team; empty for an anonymous one.
     team_name team;
-    /// How long the caller waits.
+    /// The time that the caller waits for the answer.
     duration patience{};
-    /// Set where another entry asks on its caller's behalf: the identity of the list of shards that it goes
-    /// by. Only an entry whose route has the same list may run the request, lest parts of two shard maps are
+    /// The @ref list_id of the delegating entry's list of shards; 0 if the request is not delegated. Only an
+    /// entry whose route has the same list may run the request; otherwise parts of two shard maps would be
     /// mixed.
     std::uint64_t delegated_list = 0;
-    /// Set with it: the shards that shall be run, by their positions in that list.
+    /// The delegated shards, as positions in that list.
     std::vector<std::size_t> delegated_shards;
-    /// Set with it where a second entry may be asked, too: for each of those shards the backend server that
-    /// both use beside at most one other, which is the first one's; see dispatch::subquery::designated.
+    /// For each delegated shard, the backend server that every entry running the shard uses; set if the
+    /// shards may be delegated to a second entry. The first entry may use one other backend server in
+    /// addition, so the limit on attempts holds over both entries; see dispatch::subquery::designated.
     std::vector<backend_server_name> designated;
-    /// Set with it: when a fan-out shall answer with what is in.
+    /// The time after which the delegating entry needs the received parts.
     duration answer_within{};
-    /// Set with it: when to tell the asker what is in so far.
+    /// The time after which the first partial outcome is sent to the delegating entry.
     duration progress_within{};
-    /// Set with it: another entry may have run it already, so that all of it counts as repeated.
+    /// Whether another entry may have run the shards already, so that each attempt counts as a repetition.
     bool is_repeated_delegation = false;
-    /// Set with it: where the asker's route lets it run. The route that this entry knows binds, too.
+    /// The regions that the delegating entry's route allows. The route of this entry applies as well.
     region_set delegated_regions;
 
     bool operator==(const routed_request&) const = default;
 
-    /// @return whether another entry asks on its caller's behalf
+    /// @return whether another entry delegated the request to this one
     bool is_delegated() const noexcept
     {
         return delegated_list != 0;
--- a/include/flaxtiller/routing/router.hpp
+++ b/include/flaxtiller/routing/router.hpp
@@ -20,14 +20,19 @@
 namespace flaxtiller
 {
 
-/// @brief All decisions of one entry instance on routed requests: route, target, attempts, merge, and when
-/// to answer. Deterministic.
+/// @brief Routes the requests of one entry instance to backend servers.
 ///
-/// Each service has a @ref dispatch::scheduler of its own, shared by all routes that name the service.
+/// The router chooses the route and the target of a request, starts and cancels attempts on backend servers,
+/// delegates shards of fan-outs to other entries, merges answers, and decides when to answer. It is
+/// deterministic: it reads no clock and starts no I/O. Events go in through its member functions, and
+/// @ref take_actions returns the actions to carry out.
 ///
-/// Coverage against the objective: a fan-out is answered when all parts are in; else with the parts that are
-/// in when its share of the objective has passed, if these reach the route's least share; else as soon as
-/// they do. Once too many parts have failed to reach it, the request fails at once.
+/// Each service has its own @ref dispatch::scheduler, shared by all routes that name the service.
+///
+/// A fan-out consists of parts, one for each shard. It is answered when all parts have succeeded. If the
+/// answer time (a share of the latency objective) passes before that, it is answered as soon as the parts
+/// that succeeded reach the route's least share. The request fails at once when too many parts have failed to
+/// reach that share.
 class router
 {
   public:
@@ -35,90 +40,92 @@
 
     // ------------------------------------------------------------------ events
 
-    /// @brief Another revision, or other backend servers. Requests under way keep the route they began with.
+    /// @brief Takes over a new view: another configuration revision, other backend servers or other entries.
+    /// Open requests keep the route with which they began.
     void configure(routing_view view, time_point now);
 
-    /// @brief A caller asks.
+    /// @brief A caller sent a request, or another entry delegated one.
     void arrive(request_number number, std::shared_ptr<const routed_request> request, time_point now);
 
-    /// @brief A caller went away: its attempts are stopped and nothing is answered.
+    /// @brief A caller closed its connection: the request's attempts are cancelled, and no answer is sent.
     void caller_gone(request_number number, time_point now);
 
-    /// @brief The entry that asked has answered without it: nothing further is started for it, and nothing
-    /// answered.
+    /// @brief The delegating entry no longer awaits the outcome: the router starts no further attempts for
+    /// the request and sends no answer. Running attempts are not cancelled.
     void no_longer_awaited(request_number number);
 
     /// @brief An attempt ended.
-    /// @param answer the whole answer, if one came, be it a success or a failure
+    /// @param answer the complete answer, successful or not; null if none was received
     void attempt_ended(routed_attempt_number attempt, const dispatch::attempt_result& result,
                        std::shared_ptr<const backend_answer> answer, time_point now);
 
-    /// @brief Another entry answered what it was asked by @ref ask_entry, in full or so far.
-    void on_delegation_outcome(const instance_name& peer, delegation_number number, const routed_outcome& outcome,
-                        time_point now);
+    /// @brief Another entry sent the final or a partial outcome of a delegation; see @ref delegate_shards.
+    void on_delegation_outcome(const instance_name& peer, delegation_number number,
+                               const routed_outcome& outcome, time_point now);
 
-    /// @brief The link to another entry broke: what it was asked is asked elsewhere at once.
+    /// @brief The link to another entry broke: groups delegated to that entry are reassigned at once.
     void on_entry_disconnected(const instance_name& peer, time_point now);
 
-    /// @brief What other processes know of requests that crash backend servers.
+    /// @brief Crash records of other processes were received.
     void on_crash_records(const std::vector<crash_record>& records, time_point now);
 
-    /// @brief Time has passed.
+    /// @brief Handles everything that is due at @a now.
     void on_time(time_point now);
 
-    /// @brief This instance is about to end: each open request gets its final answer, with what is in.
+    /// @brief Answers each open request at once, with the received parts, since this instance is stopping.
     void answer_all();
 
     // ------------------------------------------------------------------ results
 
-    /// @return what must be done now, in this order
+    /// @return the actions to carry out now, in this order
     std::vector<router_action> take_actions();
 
-    /// @return when @ref on_time is next needed
+    /// @return the time at which @ref on_time must be called next
     time_point next_time() const noexcept;
 
     // ------------------------------------------------------------------ inspection
 
-    /// @return requests that aren't answered yet
+    /// @return the number of requests without a final answer
     std::size_t open_requests() const noexcept;
 
-    /// @return the other entries that own shards of fan-outs: whom to keep links to
+    /// @return the other entries that own shards of fan-outs; this instance keeps links to them
     std::set<instance_name> owners_to_link() const;
 
-    /// @return how many instances share the connections to the service's backend servers
+    /// @return the number of instances that share the connections to the service's backend servers
     int connection_sharers_of(const service_name& service) const;
 
-    /// @return what is known of requests that crash backend servers
+    /// @return the crash records of requests that crash backend servers
     const crash_ledger& crashes() const noexcept
     {
         return m_crashes;
     }
 
-    /// @return how often a service's scheduler was configured since the beginning
+    /// @return the number of times that any service's scheduler was configured
     std::uint64_t schedulers_configured() const noexcept
     {
         return m_schedulers_configured;
     }
 
-    /// @return the scheduler of a service, or nothing
+    /// @return the scheduler of a service, or null if there is none
     const dispatch::scheduler* scheduler_of(const service_name& service) const;
 
   private:
     using scheduler_index = std::uint64_t;
 
+    /// A service, its scheduler, and the inputs with which the scheduler was configured last.
     struct service_scheduler
     {
         service_name service;
         dispatch::scheduler scheduler;
-        /// What the scheduler was configured with last; no sharers before the first time.
+        /// The inputs of the last configuration; sharers is 0 before the first one.
         shared_value<placed_service> placed{};
         int sharers = 0;
         double slack = 0.0;
-        /// When its scheduler is next looked at, as noted in @ref m_due.
+        /// The time of the scheduler's entry in @ref m_due.
         time_point due = time_point::never();
     };
 
-    /// Whose work a subquery is.
+    /// The request and part that a subquery belongs to.
     struct subquery_owner
     {
         request_number request = 0;
@@ -126,16 +133,17 @@
         std::size_t part = 0;
     };
 
+    /// The share of a request that goes to one service.
     struct part
     {
         service_name service;
         /// Its position in the route's fan-out.
         std::size_t shard = 0;
-        /// As the entry that asked wants it; see dispatch::subquery::designated.
+        /// The backend server that the delegating entry named; see dispatch::subquery::designated.
         backend_server_name designated;
-        /// Whether the entry that asked has it already.
+        /// Whether a partial outcome with this part was sent to the delegating entry.
         bool is_reported = false;
-        /// Set once it is run here.
+        /// Set when this instance runs the part; a part in a delegated group has no subquery.
         scheduler_index scheduler_id = 0;
         dispatch::subquery_id subquery = 0;
         bool is_finished = false;
@@ -148,31 +156,33 @@
         }
     };
 
-    /// What one entry was asked of a group.
+    /// A group of shards that one other entry was asked to run.
     struct delegation
     {
         delegation_number number = 0;
         instance_name peer;
         time_point sent_at;
+        /// Whether any outcome, partial or final, was received.
         bool has_replied = false;
         bool is_finished = false;
-        /// What it told so far.
+        /// The sum of the outcomes that were received.
         routed_outcome outcome{};
     };
 
-    /// Shards that other entries run: one, and a second one where the first is silent.
+    /// Shards that are delegated to another entry, and to a second entry if the first does not answer.
     struct group
     {
         std::vector<std::size_t> parts;
-        /// Named to every entry that is asked; empty where all replicas may be used anyway.
+        /// By part: the backend server named to every entry that runs the group; empty if the route allows as
+        /// many attempts as there are replicas.
         std::vector<backend_server_name> designated;
         std::vector<delegation> delegations;
         bool is_finished = false;
-        /// The best that came so far.
+        /// The most complete outcome that was received.
         routed_outcome outcome;
         instance_name answered_by;
 
-        /// @return whether some entry that was asked may still answer
+        /// @return whether any delegation may still receive an outcome
         bool is_awaited() const
         {
             return std::any_of(delegations.begin(), delegations.end(),
@@ -182,57 +192,60 @@
                                });
         }
 
+        /// @return whether the group is unfinished and no outcome was received
         bool is_silent() const
         {
             return !is_finished && std::none_of(delegations.begin(), delegations.end(),
-                                         [](const delegation& sent)
-                                         {
-                                             return sent.has_replied;
-                                         });
+                                                [](const delegation& sent)
+                                                {
+                                                    return sent.has_replied;
+                                                });
         }
     };
 
     struct open_request
     {
-        /// The configuration's revision when it came.
+        /// The configuration revision at arrival.
         std::int64_t revision = 0;
-        /// The identity of its route's list of shards.
+        /// The @ref list_id of the route's list of shards.
         std::uint64_t list = 0;
         std::shared_ptr<const routed_request> request;
         std::shared_ptr<const route> matched_route;
-        /// Where it may run; null for anywhere.
+        /// The regions in which the request may run; null for any.
         std::shared_ptr<const region_set> regions;
         time_point arrived_at;
         time_point deadline;
-        /// When a fan-out answers with what is in.
+        /// The time from which a fan-out is answered with the received parts.
         time_point answer_at;
-        /// When groups of which nothing was heard are asked elsewhere.
+        /// The time at which silent groups are reassigned.
         time_point group_check_at = time_point::never();
-        /// When the entry that asked is told what is in so far.
+        /// The time at which the next partial outcome is sent to the delegating entry.
         time_point progress_at = time_point::never();
-        /// When it is looked at next.
+        /// The time of the request's entry in @ref m_timers.
         time_point timer_at;
         std::vector<part> parts;
         std::vector<group> groups;
-        /// Shared by the parts that are run here; null where these are too few to tell anything.
+        /// Shared by the parts that this instance runs; null if these are too few for a comparison.
         std::shared_ptr<dispatch::fan_out_progress> progress{};
+        /// The numbers of parts that succeeded and that failed.
         int succeeded = 0;
         int missing = 0;
         int attempts = 0;
         bool may_have_run = false;
         bool past_objective = false;
-        /// Whether backend servers are named to the entries that are asked.
+        /// Whether delegations designate backend servers.
         bool designates_servers = false;
         missing_reason reason = missing_reason::none;
         duration retry_after{};
-        /// Worked out when it is first needed.
+        /// Computed on first use.
         std::optional<request_fingerprint> fingerprint{};
-        /// Whether its parts are held back, as it may crash backend servers.
+        /// Whether the parts are held back because the request is suspected of crashing backend servers.
         bool held = false;
-        /// What is known of backend servers that crashed under it.
+        /// The crash record of the request, if backend servers crashed while running it.
         std::vector<crash_record> crashes{};
     };
 
+    /// An attempt that was started and has not ended.
     struct started
     {
         scheduler_index scheduler_id = 0;
@@ -241,15 +254,16 @@
         request_number request = 0;
         std::shared_ptr<const routed_request> sent;
         std::shared_ptr<const route> matched_route;
-        /// Its list of shards.
+        /// The @ref list_id of the route's list of shards.
         std::uint64_t list = 0;
         backend_server_name server;
         time_point since;
-        /// Whether it is the only one of a request that may crash backend servers.
+        /// Whether this is a trial attempt of a suspect request.
         bool on_trial = false;
     };
 
-    /// The only attempt that is let through of a request that is held back.
+    /// A trial attempt: the only attempt that is started for a held request, to test if it crashes its
+    /// backend server.
     struct trial
     {
         request_number request = 0;
@@ -258,27 +272,31 @@
 
     scheduler_index scheduler_index_of(const service_name& service);
     std::vector<part> parts_of(const route& matched_route, const routed_request& request);
-    void refuse(request_number number, const route* matched_route, missing_reason reason, duration retry_after = {});
-    void refuse_quarantined(request_number number, const route& matched_route, const request_fingerprint& fingerprint,
-                            time_point now);
+    void refuse(request_number number, const route* matched_route, missing_reason reason,
+                duration retry_after = {});
+    void refuse_quarantined(request_number number, const route& matched_route,
+                            const request_fingerprint& fingerprint, time_point now);
     bool refuse_unservable(request_number number, const route& matched_route,
                            const std::shared_ptr<const region_set>& regions, time_point now);
-    static std::shared_ptr<const region_set> regions_of(const route& matched_route, const routed_request& request);
+    static std::shared_ptr<const region_set> regions_of(const route& matched_route,
+                                                        const routed_request& request);
     std::shared_ptr<const route> route_for(const team_name& name, std::shared_ptr<const route> matched_route);
     bool is_outside(const routed_request& request, const std::shared_ptr<const region_set>& regions) const;
     void process_outcome(const instance_name& peer, delegation_number number, const routed_outcome& outcome,
-                     time_point now);
+                         time_point now);
     void delegate_groups(request_number number, open_request& opened, time_point now);
     void delegate_group(request_number number, open_request& opened, group& wanted, const instance_name& peer,
-                 bool again, time_point now);
-    void run_locally(request_number number, const std::vector<std::size_t>& wanted, bool again, time_point now);
+                        bool again, time_point now);
+    void run_locally(request_number number, const std::vector<std::size_t>& wanted, bool again,
+                     time_point now);
     bool run_group_locally(request_number number, group& failed_group, bool again, time_point now);
     void replace_delegation(request_number number, group& asked, bool again, time_point now);
     bool reassign_group(request_number number, group& failed_group, bool again, time_point now);
-    void on_delegation_failed(request_number number, group& asked, const delegation& failed, const routed_outcome& outcome,
-                  time_point now);
+    void on_delegation_failed(request_number number, group& asked, const delegation& failed,
+                              const routed_outcome& outcome, time_point now);
     void reassign_silent_groups(request_number number, time_point now);
-    static void merge_outcome(open_request& opened, group& asked, delegation& from, const routed_outcome& outcome);
+    static void merge_outcome(open_request& opened, group& asked, delegation& from,
+                              const routed_outcome& outcome);
     static void end_group(open_request& opened, group& asked);
     static void describe(const open_request& opened, routed_outcome& outcome);
     void send_progress(request_number number, open_request& opened, time_point now);
@@ -294,8 +312,8 @@
     double least_share_of(const open_request& opened) const;
     duration time_to_answer(const route& matched_route, const routed_request& request) const;
     void set_timer(request_number number, open_request& opened);
-    void configure_scheduler(scheduler_index at, const shared_value<placed_service>& placed, bool places_changed,
-                        time_point now);
+    void configure_scheduler(scheduler_index at, const shared_value<placed_service>& placed,
+                             bool places_changed, time_point now);
     void limit_cold_servers(const cold_servers& before, time_point now);
     void limit_cold(const backend_server_name& name, const cold_server& cold, time_point now);
     void note_due(scheduler_index at, service_scheduler& item);
@@ -323,7 +341,8 @@
     void observe_crash(const started& ended, time_point now);
     void observe_answer(const started& ended, time_point now);
     std::int64_t born_ms_of(const started& attempt) const;
-    void on_quarantine_state(const request_fingerprint& fingerprint, crash_ledger::quarantine_state before, time_point now);
+    void on_quarantine_state(const request_fingerprint& fingerprint, crash_ledger::quarantine_state before,
+                             time_point now);
     void hold_or_release(const request_fingerprint& fingerprint, time_point now);
     void hold(request_number number, open_request& opened);
     void release(request_number number, open_request& opened, time_point now);
@@ -337,21 +356,21 @@
     void start_next_trial(time_point now);
     bool start_trial_of(request_number number, time_point now);
     bool can_run_trial(const part& item, const std::shared_ptr<const region_set>& regions,
-                      time_point now) const;
+                       time_point now) const;
     void publish_crash_changes(time_point now);
 
     router_options m_options;
     routing_view m_view;
     target_choice m_targets;
     group_choice m_groups;
-    /// The other entries, and what the way to and from a region's entries costs, a moving average.
+    /// The other entries by name, and a moving average of the round trip to the entries of each region.
     std::map<instance_name, entry_peer> m_peers;
     std::map<std::string, duration> m_round_trips;
-    /// Routes as they hold for teams that are bound to regions, by the names of both.
+    /// Routes restricted to the regions of a team, by the names of route and team.
     std::map<std::pair<std::string, team_name>, std::shared_ptr<const route>> m_team_routes;
     std::map<scheduler_index, service_scheduler> m_service_schedulers;
     std::unordered_map<service_name, scheduler_index> m_scheduler_indexes;
-    /// Which scheduler has something to do when: hundreds of services, of which few are due at a time.
+    /// Schedulers by due time, as few of hundreds of services are due at a time.
     std::set<std::pair<time_point, scheduler_index>> m_due;
     std::uint64_t m_schedulers_configured = 0;
     scheduler_index m_next_lane = 1;
@@ -366,7 +385,7 @@
     std::map<std::pair<scheduler_index, dispatch::attempt_id>, routed_attempt_number> m_number_of;
     route_latencies m_route_latencies;
     crash_ledger m_crashes;
-    /// Requests that are held back, the trial that is under way, and when the next one may begin.
+    /// Requests that are held back, the running trial, and the time from which the next trial may start.
     std::set<request_number> m_held;
     std::optional<trial> m_trial;
     time_point m_next_trial_at{};
--- a/include/flaxtiller/routing/router_action.hpp
+++ b/include/flaxtiller/routing/router_action.hpp
@@ -15,101 +15,106 @@
 namespace flaxtiller
 {
 
-/// @brief Identity of a request within one entry instance.
+/// @brief Identifies a request within one entry instance.
 using request_number = std::uint64_t;
 
-/// @brief Identity of an attempt on a backend server within one entry instance.
+/// @brief Identifies an attempt on a backend server within one entry instance.
 using routed_attempt_number = std::uint64_t;
 
-/// @brief Send the request to this backend server.
+/// @brief Action: send the request to this backend server.
 struct start_routed_attempt
 {
     routed_attempt_number attempt = 0;
     request_number request = 0;
     backend_server_name server;
     service_name service;
-    /// Whether only a success counts, as for a part of a fan-out.
+    /// Whether the attempt is for a part of a fan-out, so that only a successful answer is of use.
     bool part = false;
-    /// 1 for the first attempt on the service for this request.
+    /// The number of the attempt among those for this request and service, from 1.
     int ordinal = 1;
     bool repeatable = true;
-    /// Whether it finds out if the request crashes backend servers; see @ref crash_ledger.
+    /// Whether this is a trial attempt that tests if the request crashes backend servers; see
+    /// @ref crash_ledger.
     bool on_trial = false;
     time_point deadline;
     std::shared_ptr<const routed_request> sent;
 };
 
-/// @brief Stop this attempt; its end is reported as `cancelled`.
+/// @brief Action: cancel this attempt. The attempt's end is then reported as `cancelled`.
 struct cancel_routed_attempt
 {
     routed_attempt_number attempt = 0;
 };
 
-/// @brief Give the caller its final answer.
+/// @brief Action: send the final answer to the caller or to the delegating entry.
 struct answer_request
 {
     request_number request = 0;
     routed_outcome outcome;
 };
 
-/// @brief Identity of what this instance asks of another entry.
+/// @brief Identifies a delegation (shards that this instance lets another entry run) within this instance.
 using delegation_number = std::uint64_t;
 
-/// @brief Let another entry run some shards of a fan-out; it answers by @ref router::entry_answered.
+/// @brief Action: delegate shards of a fan-out to another entry. The peer's outcomes are handed to
+/// @ref router::on_delegation_outcome.
 struct delegate_shards
 {
     delegation_number number = 0;
     instance_name peer;
-    /// The identity of the list of shards that the positions count in.
+    /// The @ref list_id of the list that @ref shards are positions in.
     std::uint64_t list = 0;
     std::vector<std::size_t> shards;
+    /// See @ref routed_request::designated.
     std::vector<backend_server_name> designated;
+    /// The time left until this instance stops waiting.
     duration patience{};
-    /// When it shall answer with what is in.
+    /// The time after which the peer sends its partial outcome, the objective being near.
     duration answer_within{};
-    /// When it shall tell what is in so far; its silence then means that it failed.
+    /// The time after which the peer sends its first partial outcome; without one the peer counts as failed.
     duration progress_within{};
-    /// Whether another entry may have run it already.
+    /// Whether another entry may have run these shards already.
     bool again = false;
-    /// Where the request may run; the asked entry stands in one of them.
+    /// The regions in which the request may run; the peer is in one of them.
     region_set regions;
     std::shared_ptr<const routed_request> sent;
 };
 
-/// @brief Tell the entry that asked what is in so far; the final answer follows.
+/// @brief Action: send a partial outcome to the delegating entry; the final outcome follows.
 struct send_partial_outcome
 {
     request_number request = 0;
     routed_outcome outcome;
 };
 
-/// @brief Tell that entry that nobody waits for it any more.
+/// @brief Action: notify a peer that this instance no longer awaits the delegation's outcome.
 struct abandon_delegation
 {
     delegation_number number = 0;
     instance_name peer;
-    /// Whether what runs is stopped, too, as its caller has gone; else it ends by itself.
+    /// Whether the peer also cancels running attempts, since the caller is gone; otherwise they run to their
+    /// end.
     bool stops = false;
 };
 
-/// @brief Tell the control replicas what changed of requests that crash backend servers.
+/// @brief Action: send changed crash records to the control replicas.
 struct publish_crash_records
 {
     std::vector<crash_record> records;
 };
 
-/// @brief Whether a request is held back, or no longer; for logs and metrics.
+/// @brief Action: log and count that the quarantine state of a request changed.
 struct report_quarantine_state
 {
     request_fingerprint request;
     crash_ledger::quarantine_state quarantine_state = crash_ledger::quarantine_state::clear;
     crash_record record;
-    /// Requests of this and other kinds that are held back here now.
+    /// The number of requests, with any fingerprint, that this instance holds back now.
     std::size_t held = 0;
 };
 
 using router_action =
-    std::variant<start_routed_attempt, cancel_routed_attempt, answer_request, delegate_shards, abandon_delegation,
-                 send_partial_outcome, publish_crash_records, report_quarantine_state>;
+    std::variant<start_routed_attempt, cancel_routed_attempt, answer_request, delegate_shards,
+                 abandon_delegation, send_partial_outcome, publish_crash_records, report_quarantine_state>;
 
 } // namespace flaxtiller
--- a/include/flaxtiller/routing/router_options.hpp
+++ b/include/flaxtiller/routing/router_options.hpp
@@ -8,54 +8,56 @@
 namespace flaxtiller
 {
 
-/// @brief What can be turned in a @ref router.
+/// @brief Settings of a @ref router.
 struct router_options
 {
     dispatch::scheduler_options scheduling = usual_scheduling();
-    /// A fan-out answers with what is in once this share of the objective has passed: the rest is the way
-    /// to and from the caller, counted from the caller's own start.
+    /// A fan-out is answered with the received parts once this share of the objective has passed. The rest is
+    /// for the round trip to the caller, who measures from the start of its own request.
     double objective_share = 0.85;
-    /// Kept back from the objective and from the caller's patience for the way back.
+    /// Subtracted from the objective and from the caller's time-out, for the transfer of the answer.
     duration response_margin = duration::from_ms(5);
-    /// Requests under way; one more is refused.
+    /// The greatest number of open requests; further ones are refused.
     std::size_t max_open_requests = 2000;
-    /// When a caller that was refused for want of a backend server or of room shall come back, at least.
+    /// The smallest retry delay sent to a caller that is refused because no backend server or no capacity is
+    /// available.
     duration min_retry_after = duration::from_ms(100);
-    /// The same where no backend server is registered: heartbeats come about every second.
+    /// The same if no backend server is registered; backend servers send heartbeats about every second.
     duration registration_retry = duration::from_ms(500);
 
-    /// What the way to and from another entry is taken to cost before it was measured: two regions apart, and
-    /// within one region on a busy instance.
+    /// The assumed round trip to another entry before one was measured: in another region, and in the same
+    /// region with a busy instance.
     duration initial_round_trip_far = duration::from_ms(30);
     duration initial_round_trip_near = duration::from_ms(8);
-    /// An entry that runs shards for another one tells what is in after this share of the time that it has:
-    /// late enough that most have all by then, early enough to try another entry within the objective.
+    /// A peer that runs delegated shards sends its first partial outcome after this share of its time: late
+    /// enough that most peers have all parts by then, early enough to try another entry within the objective.
     double progress_share = 0.4;
-    /// Where nothing was heard this long after that was due, the shards are run elsewhere: a busy entry's
-    /// delay.
+    /// If nothing was received this long after the partial outcome was due, the shards are reassigned. The
+    /// time allows for the delay of a busy entry.
     duration progress_grace = duration::from_ms(12);
-    /// Past the objective, that is looked at once more after this long: less than what is left to most
-    /// deadlines.
+    /// The check for silent peers is repeated once, this long after the objective: less than the time left
+    /// until most deadlines.
     duration silence_recheck_delay = duration::from_ms(40);
 
-    /// After a backend server crashed under a request, this passes before a suspect one is tried: what the
-    /// same cause takes down goes within it, and a trial beside it would prove nothing.
+    /// The time between the last crash and the next trial attempt of a suspect request. Other backend servers
+    /// that fail from the same cause do so within this time, and a trial during it would prove nothing.
     duration trial_pause = duration::from_ms(100);
 
-    /// What operators allow over all instances in a window of time, for each service: so many attempts beyond
-    /// the first for each request, and so many more.
+    /// The retry budget of each service over all instances and per window of time: this ratio of further
+    /// attempts to requests, plus a fixed slack.
     double retry_ratio = 0.1;
     double retry_slack = 20.0;
-    /// The span of time for which the slack is.
+    /// The window of time in which the slack may be spent.
     duration retry_window = duration::from_ms(10000);
-    /// Of that, this share is spent. The rest is for views that differ and instances that come and go.
+    /// The share of the retry budget that is spent. The rest allows for instances that start or stop and for
+    /// instances with different views.
     double retry_share = 0.9;
-    /// Where shards have owners, this share of the allowance is theirs; the rest is for entries that run
-    /// shards because no owner can.
+    /// If shards have owners, this share of the retry budget belongs to the owners. The rest is for entries
+    /// that run shards because no owner is available.
     double owner_budget_share = 0.7;
 
-    /// In any one second a cold backend server may get this many times what its service says, and so many
-    /// requests more, from all instances together.
+    /// In any second, all instances together may send a cold (recently started) backend server this multiple
+    /// of its service's warm-up rate, plus a fixed slack.
     double warmup_overage = 1.0;
     double warmup_slack = 0.0;
 
@@ -65,7 +67,7 @@
     static dispatch::scheduler_options usual_scheduling() noexcept
     {
         dispatch::scheduler_options options;
-        // An entry sends a backend server a few attempts a second, so that some ten of them count.
+        // An entry sends a backend server a few attempts per second, so about ten of them have weight.
         options.failure_half_life = duration::from_ms(2000);
         return options;
     }
--- a/include/flaxtiller/routing/routing_view.hpp
+++ b/include/flaxtiller/routing/routing_view.hpp
@@ -16,25 +16,26 @@
 namespace flaxtiller
 {
 
-/// @brief What routed requests are decided by: one revision's routes, and where its services run.
+/// @brief A snapshot of all that routing decisions depend on: the routes and teams of one configuration
+/// revision, the backend servers of its services, and the entry instances.
 ///
-/// Parts that didn't change are shared with the view before, so that copies cost little and a reader sees at
-/// once what it needn't look at again.
+/// Unchanged parts are shared with the previous view, so copies are cheap and a consumer detects unchanged
+/// parts without comparing them.
 struct routing_view
 {
     std::shared_ptr<const placement> placed;
     std::shared_ptr<const route_table> routes;
     std::shared_ptr<const team_table> teams = std::make_shared<const team_table>();
-    /// Registered backend servers that bear little for now.
+    /// Registered backend servers that are still warming up and have little capacity.
     shared_value<cold_servers> cold;
-    /// Entry instances that share the backend servers' connections; 0 while that isn't known.
+    /// The number of entry instances that share the backend servers' connections; 0 if unknown.
     int entries = 1;
-    /// This instance, where it stands, and where the availability zones are.
+    /// This instance, its region and availability zone, and the region of each availability zone.
     instance_name self;
     std::string region;
     std::string zone;
     shared_value<std::map<std::string, std::string>> region_of_zone;
-    /// Other entries, and those of them that can't be reached now.
+    /// The other entries, and those of them that are unreachable.
     shared_value<std::vector<entry_peer>> peers;
     shared_value<std::set<instance_name>> unreachable;
 };
--- a/include/flaxtiller/routing/target_choice.hpp
+++ b/include/flaxtiller/routing/target_choice.hpp
@@ -8,12 +8,13 @@
 namespace flaxtiller
 {
 
-/// @brief Divides a route's requests among its targets by weight, as evenly as whole requests allow
-/// (smooth weighted round robin). Deterministic.
+/// @brief Distributes each route's requests over its targets in proportion to their weights, by smooth
+/// weighted round robin. Deterministic.
 class target_choice
 {
   public:
-    /// @return the service for the next request; the route must have a target with a weight above zero
+    /// @return the service for the route's next request; at least one of its targets must have a positive
+    /// weight
     service_name next(const route& matched_route);
 
   private:
--- a/include/flaxtiller/routing/top_records.hpp
+++ b/include/flaxtiller/routing/top_records.hpp
@@ -8,11 +8,13 @@
 namespace flaxtiller
 {
 
-/// The length of one record in bytes, as backend servers send them.
+/// The length in bytes of one record in a backend server's answer.
 inline constexpr std::size_t record_bytes = 16;
 
-/// @brief The greatest records of several bodies, greatest first, compared byte by byte. Equal records all
-/// count; a rest shorter than a record doesn't.
+/// @brief Merges the greatest records of several bodies, in descending order of their bytes.
+///
+/// Equal records are all kept. A remainder that is shorter than a record is ignored.
+/// @param most the greatest number of records in the result
 /// @complexity O(records · log @a most)
 std::string top_records(const std::vector<std::string_view>& bodies, std::size_t most);
 
--- a/include/flaxtiller/routing/weighted_service.hpp
+++ b/include/flaxtiller/routing/weighted_service.hpp
@@ -9,7 +9,7 @@
 struct weighted_service
 {
     service_name service;
-    /// Its share is this weight over the sum of the route's weights.
+    /// The service's share is this weight divided by the sum of the route's weights.
     int weight = 1;
 
     bool operator==(const weighted_service&) const = default;
--- a/src/quarantine/crash_ledger.cpp
+++ b/src/quarantine/crash_ledger.cpp
@@ -180,7 +180,8 @@
 // inspection
 // ---------------------------------------------------------------------------------------------------------
 
-crash_ledger::quarantine_state crash_ledger::quarantine_state_of(const request_fingerprint& request, time_point now) const
+crash_ledger::quarantine_state crash_ledger::quarantine_state_of(const request_fingerprint& request,
+                                                                 time_point now) const
 {
     const record* known = find(request, now);
     return known == nullptr ? quarantine_state::clear : quarantine_state_of(*known);
--- a/src/routing/caller_admission.cpp
+++ b/src/routing/caller_admission.cpp
@@ -48,7 +48,7 @@
 {
     if (!m_teams)
     {
-        // No revision yet: the router refuses it.
+        // There is no configuration yet: the router refuses the request.
         admit(number, std::move(request));
         return;
     }
@@ -81,7 +81,7 @@
 }
 
 void caller_admission::apply(const rate_limiter::decision& made, routed_request request,
-                            const std::string& route)
+                             const std::string& route)
 {
     if (made.what == rate_limiter::verdict::admitted)
     {
@@ -120,7 +120,7 @@
         }
         held_request held = std::move(found->second);
         m_held.erase(found);
-        // The caller has been waiting.
+        // The time spent waiting for the decision counts against the caller's time-out.
         held.request.patience = std::max(held.request.patience - (now - held.since), duration{});
         apply(made, std::move(held.request), held.route);
     }
--- a/src/routing/group_choice.cpp
+++ b/src/routing/group_choice.cpp
@@ -12,7 +12,7 @@
     {
         if (view.unreachable->count(peer) == 0)
         {
-            // It is back.
+            // The entry is reachable again, so an earlier failure no longer counts.
             m_backoffs.erase(peer);
         }
     }
@@ -56,7 +56,7 @@
 }
 
 std::optional<instance_name> group_choice::next_runner(const route& matched_route, std::size_t first_shard,
-                                                   const instance_name& failed, time_point now)
+                                                       const instance_name& failed, time_point now)
 {
     for (const shard_plan::group& item : m_plan.groups_of(matched_route))
     {
@@ -66,14 +66,15 @@
         }
         if (item.is_round_robin)
         {
-            // None of them is nearer to it than this one is.
+            // No other candidate is closer to the replicas, so this instance runs the group itself.
             return m_self;
         }
-        const auto found = std::find_if(item.runner_candidates.begin(), item.runner_candidates.end(),
-                                        [&](const instance_name& peer)
-                                        {
-                                            return peer != failed && (peer == m_self || is_available(peer, now));
-                                        });
+        const auto found =
+            std::find_if(item.runner_candidates.begin(), item.runner_candidates.end(),
+                         [&](const instance_name& peer)
+                         {
+                             return peer != failed && (peer == m_self || is_available(peer, now));
+                         });
         return found == item.runner_candidates.end() ? std::nullopt : std::optional(*found);
     }
     return std::nullopt;
@@ -84,7 +85,7 @@
     failures& known = m_backoffs[peer];
     if (known.until > now)
     {
-        // Other requests that were under way failed with it.
+        // Other open requests failed for the same reason: the back-off is extended once only.
         return;
     }
     known.length = std::clamp(known.length * 2.0, backoff, max_backoff);
--- a/src/routing/route.cpp
+++ b/src/routing/route.cpp
@@ -132,7 +132,7 @@
     reader.require("path_prefix");
     reader.text("path_prefix", into.path_prefix);
     reader.flag("repeatable", into.repeatable);
-    // A time-out below a microsecond would be stored as zero: no request could ever be answered.
+    // A time-out below a microsecond would be stored as zero, and no request could be answered in time.
     read_span(reader, "timeout_ms", into.timeout, 0.001);
     read_span(reader, "objective_ms", into.objective, 0.0);
     reader.number("priority", into.priority, 0, highest_priority);
--- a/src/routing/route_sizes.cpp
+++ b/src/routing/route_sizes.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// Some hundreds of parts count: seconds at a few fan-outs a second.
+/// The average covers some hundreds of parts: a few seconds at a few fan-outs per second.
 constexpr double newest_sample_weight = 0.005;
 constexpr double min_latency_ms = 0.01;
 
--- a/src/routing/routed_json.cpp
+++ b/src/routing/routed_json.cpp
@@ -23,14 +23,14 @@
     value.address = j.at("address").get<std::string>();
 }
 
-// Lists, not objects: names of fields would be half of the bytes between regions.
+// Arrays instead of objects: field names would be half of the bytes sent between regions.
 
 void to_json(nlohmann::json& j, const routed_request& value)
 {
     j = nlohmann::json::array({value.id, value.method, value.host, value.target, value.headers, value.body,
-                               value.patience.us(), value.delegated_list, value.delegated_shards, value.designated,
-                               value.answer_within.us(), value.progress_within.us(), value.is_repeated_delegation,
-                               value.delegated_regions, value.team});
+                               value.patience.us(), value.delegated_list, value.delegated_shards,
+                               value.designated, value.answer_within.us(), value.progress_within.us(),
+                               value.is_repeated_delegation, value.delegated_regions, value.team});
 }
 
 void from_json(const nlohmann::json& j, routed_request& value)
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -9,15 +9,16 @@
 namespace
 {
 
-/// Connections are shared by the owners and a few more, whose view differs for a moment.
+/// The owners share the connections with a few more entries, whose view may differ for a short time.
 constexpr int extra_sharers = 2;
-/// While it isn't known how many instances there are, each takes one connection and a small part of the
-/// allowance.
+/// While the number of instances is unknown, each instance uses one connection and a small share of the retry
+/// budget.
 constexpr int sharers_if_unknown = 1000;
 constexpr double budget_share_if_unknown = 0.01;
-/// Half of the slack may be spent at once, and half comes with time: no window sees more than all of it.
+/// Half of the slack may be spent in a burst, and half accrues over the window, so no window exceeds the
+/// slack.
 constexpr double burst_share = 0.5;
-/// With fewer parts all may well be on backend servers that are slow just now.
+/// With fewer parts, all of them may be on backend servers that are temporarily slow.
 constexpr std::size_t min_parts_to_compare = 4;
 
 } // namespace
@@ -67,7 +68,8 @@
     const shared_value<cold_servers> cold_before = m_view.cold;
     m_view = std::move(view);
     m_groups.configure(m_view);
-    // Before the schedulers see a new backend server, lest what waits for one is sent to it all at once.
+    // Limited before the schedulers see a new backend server; otherwise the whole queue would be sent to it
+    // at once.
     limit_cold_servers(*cold_before, now);
     for (const auto& [name, placed] : m_view.placed->services)
     {
@@ -91,8 +93,8 @@
     }
 }
 
-/// Each second a cold backend server gets from all instances together no more than its service says: beyond
-/// that it falls over, and with it the part of the load that it could have borne.
+/// Limits the rate of requests that all instances together send to a cold backend server to its service's
+/// warm-up rate. Beyond that rate the backend server fails, and the load within its capacity is lost as well.
 void router::limit_cold(const backend_server_name& name, const cold_server& cold, time_point now)
 {
     const auto placed = m_view.placed->services.find(cold.service);
@@ -104,21 +106,22 @@
                                        m_options.warmup_overage, m_options.warmup_slack};
     const shard_plan::sender own = m_groups.plan().rank_of(cold.service, name.str());
     const scheduler_index at = scheduler_index_of(cold.service);
-    m_service_schedulers.at(at).scheduler.limit_cold(name, cold.until,
-                                        dispatch::warmup_share_of(bound, own.senders, own.rank), now);
+    m_service_schedulers.at(at).scheduler.limit_cold(
+        name, cold.until, dispatch::warmup_share_of(bound, own.senders, own.rank), now);
     collect(at, now);
 }
 
-/// Only what changed is told: a scheduler that takes over its backend servers copies all of them.
-void router::configure_scheduler(scheduler_index at, const shared_value<placed_service>& placed, bool places_changed,
-                            time_point now)
+/// Configures the scheduler only if an input changed, as each configuration copies all backend servers.
+void router::configure_scheduler(scheduler_index at, const shared_value<placed_service>& placed,
+                                 bool places_changed, time_point now)
 {
     service_scheduler& item = m_service_schedulers.at(at);
     const double slack = m_options.retry_slack * m_options.retry_share * retry_budget_share_of(item.service);
     if (slack != item.slack)
     {
         item.slack = slack;
-        item.scheduler.limit_budget(slack * burst_share, slack * (1.0 - burst_share) / m_options.retry_window.ms());
+        item.scheduler.limit_budget(slack * burst_share,
+                                    slack * (1.0 - burst_share) / m_options.retry_window.ms());
     }
     const int sharers = connection_sharers_of(item.service);
     if (!places_changed && sharers == item.sharers && placed.is_same(item.placed))
@@ -148,7 +151,7 @@
     return static_cast<int>(plan.owners_of(service)) + extra_sharers;
 }
 
-/// This instance's share of what operators allow beyond the first attempts over all instances.
+/// @return this instance's share of the service's retry budget
 double router::retry_budget_share_of(const service_name& service) const
 {
     const shard_plan& plan = m_groups.plan();
@@ -163,14 +166,15 @@
     return (1.0 - m_options.owner_budget_share) / m_view.entries;
 }
 
-/// Services that aren't declared any more keep what is under way and get nothing new.
+/// Removes the backend servers of services that are no longer declared. Their running attempts continue, and
+/// the scheduler is deleted once it is idle.
 void router::drop_undeclared_services(time_point now)
 {
     if (m_service_schedulers.size() == m_view.placed->services.size())
     {
         return;
     }
-    // One object for all time, so that a lane that ends slowly is told only once.
+    // The object is static so that a scheduler with running attempts is configured with it only once.
     static const shared_value<placed_service> none(placed_service{{}, {{}}});
     for (auto at = m_service_schedulers.begin(); at != m_service_schedulers.end();)
     {
@@ -207,13 +211,13 @@
 
 void router::detach(const part& asked)
 {
-    service_scheduler& item = m_service_schedulers.at(asked.scheduler);
+    service_scheduler& item = m_service_schedulers.at(asked.scheduler_id);
     item.scheduler.detach(asked.subquery);
     note_due(asked.scheduler_id, item);
 }
 
 void router::run_locally(request_number number, const std::vector<std::size_t>& wanted, bool again,
-                      time_point now)
+                         time_point now)
 {
     open_request& opened = m_open.at(number);
     const double size = m_route_latencies.relative_latency(opened.matched_route->name, opened.list);
@@ -234,14 +238,15 @@
     {
         submit(opened, opened.parts[at], size, again, now);
     }
-    // Collected only after all are submitted: an early end of one part must not answer before.
+    // Actions are collected after all parts are submitted: one part that ends at once must not cause an
+    // answer before that.
     for (const scheduler_index at : affected_schedulers)
     {
         collect(at, now);
     }
 }
 
-/// Sets the timer for whatever is due first.
+/// Sets the request's timer to its earliest due time.
 void router::set_timer(request_number number, open_request& opened)
 {
     m_timers.erase({opened.timer_at, number});
@@ -334,9 +339,10 @@
     m_number_of.emplace(std::pair(at, action.attempt), number);
     ++opened.attempts;
     const int ordinal = ++opened.parts[owner.part].attempts;
-    m_actions.emplace_back(start_routed_attempt{number, owner.request, action.server, m_service_schedulers.at(at).service,
-                                                opened.matched_route->fans_out(), ordinal, opened.matched_route->repeatable,
-                                                on_trial, opened.deadline, opened.request});
+    m_actions.emplace_back(
+        start_routed_attempt{number, owner.request, action.server, m_service_schedulers.at(at).service,
+                             opened.matched_route->fans_out(), ordinal, opened.matched_route->repeatable,
+                             on_trial, opened.deadline, opened.request});
 }
 
 void router::apply(scheduler_index at, const dispatch::cancel_attempt& action)
@@ -401,7 +407,8 @@
 {
     open_request& opened = m_open.at(number);
     opened.past_objective = opened.past_objective || now >= opened.answer_at;
-    if (opened.past_objective && opened.matched_route->fans_out() && has_min_share(opened) && !opened.request->is_delegated())
+    if (opened.past_objective && opened.matched_route->fans_out() && has_min_share(opened) &&
+        !opened.request->is_delegated())
     {
         merge(number, opened);
         return;
@@ -413,14 +420,15 @@
     }
     if (now >= opened.progress_at)
     {
-        // Told twice: that it is being run, and what is in when the asker's objective is near.
+        // Sent twice: first to show that the request is being run, and again when the delegating entry's
+        // objective is near.
         opened.progress_at = now < opened.answer_at ? opened.answer_at : time_point::never();
         send_progress(number, opened, now);
     }
     const bool check_groups = now >= opened.group_check_at;
     if (check_groups)
     {
-        // Looked at twice: when the first word was due, and past the objective.
+        // Checked twice: when the partial outcome is due, and again after the objective.
         const time_point second_check = opened.answer_at + m_options.silence_recheck_delay;
         opened.group_check_at = now < opened.answer_at ? second_check : time_point::never();
     }
--- a/src/routing/router_admission.cpp
+++ b/src/routing/router_admission.cpp
@@ -1,4 +1,4 @@
-// What happens to a request when it comes: its route and parts, or a refusal at once.
+// Arrival of requests: the choice of route and parts, or an immediate refusal.
 
 #include <flaxtiller/routing/router.hpp>
 
@@ -8,7 +8,8 @@
 namespace flaxtiller
 {
 
-void router::refuse(request_number number, const route* matched_route, missing_reason reason, duration retry_after)
+void router::refuse(request_number number, const route* matched_route, missing_reason reason,
+                    duration retry_after)
 {
     routed_outcome result;
     result.end = routed_end::refused;
@@ -19,7 +20,7 @@
     m_actions.emplace_back(answer_request{number, std::move(result)});
 }
 
-/// The entry that asked may not know yet, so it is told why.
+/// The delegating entry may not have the crash record yet, so the outcome includes it.
 void router::refuse_quarantined(request_number number, const route& matched_route,
                                 const request_fingerprint& fingerprint, time_point now)
 {
@@ -27,9 +28,9 @@
     std::get<answer_request>(m_actions.back()).outcome.crashes = {m_crashes.record_of(fingerprint, now)};
 }
 
-/// Refuses a fan-out of which too many shards have no backend server that could be asked: running the others
-/// would only take their time.
-/// @return whether it was refused
+/// Refuses a fan-out if too many of its shards have no available backend server. Running the other shards
+/// would only waste capacity.
+/// @return whether the request was refused
 bool router::refuse_unservable(request_number number, const route& matched_route,
                                const std::shared_ptr<const region_set>& regions, time_point now)
 {
@@ -54,7 +55,7 @@
     {
         return false;
     }
-    // It can be served once enough of them are back.
+    // The request can be served once enough of the shards are available again.
     std::sort(returns.begin(), returns.end());
     const auto may_miss = std::min(static_cast<std::size_t>(all - needed), returns.size() - 1);
     refuse(number, &matched_route, reason, returns[returns.size() - 1 - may_miss]);
@@ -93,7 +94,7 @@
     return parts;
 }
 
-/// How long a fan-out may wait for parts that are missing.
+/// @return the time for which a fan-out waits for missing parts
 duration router::time_to_answer(const route& matched_route, const routed_request& request) const
 {
     if (request.is_delegated())
@@ -104,18 +105,22 @@
     {
         return matched_route.timeout;
     }
-    return std::max(matched_route.objective * m_options.objective_share - m_options.response_margin, duration{});
+    return std::max(matched_route.objective * m_options.objective_share - m_options.response_margin,
+                    duration{});
 }
 
-/// Both the asker's route and this entry's bind: they may be of different revisions.
-std::shared_ptr<const region_set> router::regions_of(const route& matched_route, const routed_request& request)
+/// @return the regions that are allowed by this entry's route and by the delegating entry's route, which may
+/// be of different revisions
+std::shared_ptr<const region_set> router::regions_of(const route& matched_route,
+                                                     const routed_request& request)
 {
     region_set allowed = matched_route.allowed_regions.both(request.delegated_regions);
     return allowed.is_any() ? nullptr : std::make_shared<const region_set>(std::move(allowed));
 }
 
-/// @return the route as it holds for a team: the regions of both bind, wherever a place is chosen
-std::shared_ptr<const route> router::route_for(const team_name& name, std::shared_ptr<const route> matched_route)
+/// @return the route restricted to the regions that the team allows
+std::shared_ptr<const route> router::route_for(const team_name& name,
+                                               std::shared_ptr<const route> matched_route)
 {
     const team* sender = name.empty() ? nullptr : m_view.teams->find(name);
     if (sender == nullptr || sender->allowed_regions.is_any())
@@ -132,7 +137,7 @@
     return bound;
 }
 
-/// @return whether another entry passed the request on to a region where it may not run
+/// @return whether another entry delegated the request to a region in which it may not run
 bool router::is_outside(const routed_request& request, const std::shared_ptr<const region_set>& regions) const
 {
     return request.is_delegated() && regions && !regions->allows(m_view.region);
@@ -161,7 +166,8 @@
         return shard >= matched_route->fan_out.size();
     };
     const bool other_list = request->is_delegated() && request->delegated_list != list;
-    if (other_list || std::any_of(request->delegated_shards.begin(), request->delegated_shards.end(), unknown))
+    if (other_list ||
+        std::any_of(request->delegated_shards.begin(), request->delegated_shards.end(), unknown))
     {
         refuse(number, matched_route.get(), missing_reason::wrong_version);
         return;
@@ -177,7 +183,8 @@
         refuse(number, matched_route.get(), missing_reason::overloaded);
         return;
     }
-    if (matched_route->fans_out() && !request->is_delegated() && refuse_unservable(number, *matched_route, regions, now))
+    if (matched_route->fans_out() && !request->is_delegated() &&
+        refuse_unservable(number, *matched_route, regions, now))
     {
         return;
     }
--- a/src/routing/router_answers.cpp
+++ b/src/routing/router_answers.cpp
@@ -1,4 +1,4 @@
-// When and how a request is answered.
+// Final and partial answers: when a request is answered, and with which outcome.
 
 #include <flaxtiller/routing/router.hpp>
 
@@ -10,7 +10,7 @@
 namespace flaxtiller
 {
 
-/// What another entry asked for is of use to it whatever its share.
+/// A delegating entry can use any share of the delegated shards.
 double router::least_share_of(const open_request& opened) const
 {
     return opened.request->is_delegated() ? 0.0 : opened.matched_route->least_share;
@@ -37,7 +37,7 @@
 void router::settle_single(request_number number, open_request& opened)
 {
     const part& asked = opened.parts.front();
-    // Also a failure is the backend server's word: it is passed on where no success came.
+    // An error answer of the backend server is forwarded too if no attempt succeeded.
     if (asked.answer)
     {
         routed_outcome result;
@@ -53,7 +53,7 @@
 {
     const auto all = static_cast<int>(opened.parts.size());
     const bool complete = opened.succeeded + opened.missing == all;
-    // An entry that asked has what was in at its objective; what comes later may still be of use to it.
+    // A delegating entry has received a partial outcome at its objective, and may still use later parts.
     const bool may_stop = opened.past_objective && !opened.request->is_delegated();
     if (has_min_share(opened) && (complete || may_stop))
     {
@@ -61,7 +61,8 @@
         return;
     }
     const auto max_succeeded = static_cast<double>(all - opened.missing);
-    const bool is_share_unreachable = max_succeeded < least_share_of(opened) * static_cast<double>(all) || max_succeeded == 0.0;
+    const bool is_share_unreachable =
+        max_succeeded < least_share_of(opened) * static_cast<double>(all) || max_succeeded == 0.0;
     if (is_share_unreachable || complete)
     {
         fail(number, opened, now >= opened.deadline);
@@ -106,25 +107,26 @@
         {
             bodies.emplace_back(asked.outcome.merged);
             result.signatures.insert(result.signatures.end(), asked.outcome.signatures.begin(),
-                                   asked.outcome.signatures.end());
+                                     asked.outcome.signatures.end());
             result.delegates.push_back(asked.answered_by);
         }
     }
-    // Not the length of the list of missing ones: what is named as in must be true whatever other entries say
-    // of the rest.
+    // Computed from the received signatures, not from the lists of missing shards that other entries sent:
+    // the count must match the parts in the answer.
     result.missing = static_cast<int>(opened.parts.size() - succeeded_parts(opened));
     result.merged = top_records(bodies, static_cast<std::size_t>(opened.matched_route->top_records));
     return result;
 }
 
-/// The entry that asked sees by this that its request is being run, and has the parts if the rest comes late.
+/// Shows the delegating entry that its request is being run, and hands over the parts that have succeeded in
+/// case the rest is too late.
 void router::send_progress(request_number number, open_request& opened, time_point now)
 {
     routed_outcome result = merged_so_far(opened);
     const bool first = opened.progress_at != time_point::never();
     if (!first && result.signatures.empty())
     {
-        // Nothing new.
+        // There are no new parts to send.
         return;
     }
     result.is_progress = true;
@@ -154,7 +156,7 @@
     {
         numbers.push_back(number);
     }
-    // In the order of their arrival, so that the same events give the same actions.
+    // In order of arrival, so that equal events give equal actions.
     std::sort(numbers.begin(), numbers.end());
     for (const request_number number : numbers)
     {
@@ -172,10 +174,10 @@
     routed_outcome result;
     result.end = routed_end::refused;
     const bool is_delegation_pending = std::any_of(opened.groups.begin(), opened.groups.end(),
-                                             [](const group& asked)
-                                             {
-                                                 return !asked.is_finished;
-                                             });
+                                                   [](const group& asked)
+                                                   {
+                                                       return !asked.is_finished;
+                                                   });
     if (opened.may_have_run || (running && opened.attempts > 0) || is_delegation_pending)
     {
         result.end = late ? routed_end::late : routed_end::failed;
@@ -236,7 +238,7 @@
     detach_parts(opened);
     if (opened.request->is_delegated())
     {
-        // The entry that asked may ask another one else, and doesn't know yet.
+        // Without the crash record the delegating entry might delegate the request to another entry.
         outcome.crashes = std::move(opened.crashes);
     }
     m_open.erase(number);
--- a/src/routing/router_groups.cpp
+++ b/src/routing/router_groups.cpp
@@ -1,4 +1,4 @@
-// What other entries run on this one's behalf, and what this one runs on theirs.
+// Delegation of groups of shards to other entries, and submission and abandonment of parts.
 
 #include <flaxtiller/routing/router.hpp>
 
@@ -12,7 +12,7 @@
 {
 
 // ---------------------------------------------------------------------------------------------------------
-// asking
+// delegating
 // ---------------------------------------------------------------------------------------------------------
 
 void router::delegate_groups(request_number number, open_request& opened, time_point now)
@@ -31,8 +31,8 @@
     }
 }
 
-void router::delegate_group(request_number number, open_request& opened, group& wanted, const instance_name& peer,
-                     bool again, time_point now)
+void router::delegate_group(request_number number, open_request& opened, group& wanted,
+                            const instance_name& peer, bool again, time_point now)
 {
     delegate_shards sent;
     sent.number = m_next_delegation++;
@@ -81,7 +81,7 @@
 
 void router::record_round_trip(const instance_name& peer, duration way)
 {
-    // A few answers suffice, and one that was held up doesn't count for much.
+    // The average adapts within a few answers, and a single delayed answer has little influence.
     constexpr double weight = 0.2;
     const auto listed = m_peers.find(peer);
     if (listed == m_peers.end())
@@ -93,10 +93,11 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// asking again
+// reassigning
 // ---------------------------------------------------------------------------------------------------------
 
-/// Whether running it here as well can't bring any shard to more backend servers than the route allows.
+/// @return whether a second entry may run the shards without exceeding the route's limit on attempts, as no
+/// shard has more replicas than that
 bool router::fits_attempt_limit(const open_request& opened) const
 {
     return std::all_of(opened.parts.begin(), opened.parts.end(),
@@ -109,8 +110,8 @@
                        });
 }
 
-/// The backend server nearest to an entry that the request may be sent to; of several the first by name. One
-/// that leaves comes last.
+/// @return the allowed backend server that is nearest to the entry; the first by name of several. A leaving
+/// backend server comes last.
 backend_server_name router::designated_of(const open_request& opened, const service_name& service,
                                           const entry_peer& near) const
 {
@@ -152,7 +153,8 @@
                        });
 }
 
-/// @return whether it could be run here
+/// Runs a delegated group on this instance, if the retry budget allows it.
+/// @return whether the group was started
 bool router::run_group_locally(request_number number, group& failed_group, bool again, time_point now)
 {
     open_request& opened = m_open.at(number);
@@ -176,8 +178,8 @@
     return true;
 }
 
-/// Has a group run by another entry, or here.
-/// @return whether there is anyone to run it
+/// Delegates a group to the next candidate, or runs it on this instance.
+/// @return whether the group was reassigned
 bool router::reassign_group(request_number number, group& failed_group, bool again, time_point now)
 {
     open_request& opened = m_open.at(number);
@@ -190,7 +192,8 @@
     {
         return false;
     }
-    const auto next = m_groups.next_runner(*opened.matched_route, failed_group.parts.front(), failed_group.delegations.back().peer, now);
+    const auto next = m_groups.next_runner(*opened.matched_route, failed_group.parts.front(),
+                                           failed_group.delegations.back().peer, now);
     if (!next || *next == m_view.self)
     {
         return run_group_locally(number, failed_group, again, now);
@@ -213,7 +216,7 @@
         if (asked.is_silent())
         {
             m_groups.failed(asked.delegations.back().peer, now);
-            // Where nobody can, its answer may still come until the deadline.
+            // If the group can't be reassigned, its outcome may still arrive before the deadline.
             (void)reassign_group(number, asked, true, now);
         }
     }
@@ -232,7 +235,8 @@
             {
                 if (sent.peer == peer && !sent.is_finished)
                 {
-                    // A word of it may be lost, so that a later one doesn't tell all any more.
+                    // An outcome may have been lost with the link, so a later one may be incomplete and is
+                    // ignored.
                     sent.is_finished = true;
                     m_delegations.erase(sent.number);
                 }
@@ -253,7 +257,8 @@
     }
 }
 
-/// The last entry that was asked won't answer any more. Where it told some parts already, these are kept.
+/// Handles a group whose last delegation can't succeed any more: parts that were received are kept; without
+/// any the group is reassigned.
 void router::replace_delegation(request_number number, group& asked, bool again, time_point now)
 {
     if (asked.outcome.signatures.empty() && reassign_group(number, asked, again, now))
@@ -266,22 +271,25 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// what others answer
+// outcomes of delegations
 // ---------------------------------------------------------------------------------------------------------
 
-/// Adds what an entry told to what it told before. Of two entries that run the same shards, the one that has
-/// more of them counts.
-void router::merge_outcome(open_request& opened, group& asked, delegation& from, const routed_outcome& outcome)
+/// Adds an outcome to the earlier outcomes of the same delegation. If two entries run the same shards, the
+/// more complete result counts.
+void router::merge_outcome(open_request& opened, group& asked, delegation& from,
+                           const routed_outcome& outcome)
 {
     routed_outcome& sum = from.outcome;
     sum.signatures.insert(sum.signatures.end(), outcome.signatures.begin(), outcome.signatures.end());
-    sum.merged = top_records({sum.merged, outcome.merged}, static_cast<std::size_t>(opened.matched_route->top_records));
+    sum.merged = top_records({sum.merged, outcome.merged},
+                             static_cast<std::size_t>(opened.matched_route->top_records));
     sum.missing_shards = outcome.missing_shards;
     if (sum.signatures.size() < asked.outcome.signatures.size())
     {
         return;
     }
-    opened.succeeded += static_cast<int>(sum.signatures.size()) - static_cast<int>(asked.outcome.signatures.size());
+    opened.succeeded +=
+        static_cast<int>(sum.signatures.size()) - static_cast<int>(asked.outcome.signatures.size());
     asked.outcome = sum;
     asked.answered_by = from.peer;
 }
@@ -296,16 +304,16 @@
     }
 }
 
-void router::on_delegation_outcome(const instance_name& peer, delegation_number number, const routed_outcome& outcome,
-                            time_point now)
+void router::on_delegation_outcome(const instance_name& peer, delegation_number number,
+                                   const routed_outcome& outcome, time_point now)
 {
     merge_crash_records(outcome.crashes, now);
     process_outcome(peer, number, outcome, now);
     process_held(now);
 }
 
-void router::process_outcome(const instance_name& peer, delegation_number number, const routed_outcome& outcome,
-                         time_point now)
+void router::process_outcome(const instance_name& peer, delegation_number number,
+                             const routed_outcome& outcome, time_point now)
 {
     const auto known = m_delegations.find(number);
     if (known == m_delegations.end())
@@ -318,11 +326,12 @@
     {
         return sent.number == number;
     };
-    const auto asked = std::find_if(opened.groups.begin(), opened.groups.end(),
-                                    [&](const group& item)
-                                    {
-                                        return std::any_of(item.delegations.begin(), item.delegations.end(), holds);
-                                    });
+    const auto asked =
+        std::find_if(opened.groups.begin(), opened.groups.end(),
+                     [&](const group& item)
+                     {
+                         return std::any_of(item.delegations.begin(), item.delegations.end(), holds);
+                     });
     delegation& sent = *std::find_if(asked->delegations.begin(), asked->delegations.end(), holds);
     sent.has_replied = true;
     sent.is_finished = !outcome.is_progress;
@@ -350,9 +359,9 @@
     settle(request, opened, now);
 }
 
-/// An entry failed what it was asked.
-void router::on_delegation_failed(request_number number, group& asked, const delegation& failed, const routed_outcome& outcome,
-                      time_point now)
+/// Handles a delegation that ended without any parts.
+void router::on_delegation_failed(request_number number, group& asked, const delegation& failed,
+                                  const routed_outcome& outcome, time_point now)
 {
     m_groups.failed(failed.peer, now);
     const bool not_run = outcome.end == routed_end::refused || outcome.end == routed_end::no_route;
--- a/src/routing/router_suspects.cpp
+++ b/src/routing/router_suspects.cpp
@@ -1,4 +1,5 @@
-// Requests that may crash the backend servers that run them: held back, tried, or ended.
+// Requests suspected of crashing the backend servers that run them: these are held back, tested by a trial
+// attempt, and released or refused.
 
 #include <flaxtiller/routing/router.hpp>
 
@@ -22,7 +23,8 @@
 
 quarantine_state router::quarantine_state_of(open_request& opened, time_point now) const
 {
-    return m_crashes.empty() ? quarantine_state::clear : m_crashes.quarantine_state_of(fingerprint_of(opened), now);
+    return m_crashes.empty() ? quarantine_state::clear
+                             : m_crashes.quarantine_state_of(fingerprint_of(opened), now);
 }
 
 // ---------------------------------------------------------------------------------------------------------
@@ -54,7 +56,7 @@
     const auto found = m_open.find(ended.request);
     if (found != m_open.end() && found->second.succeeded > 0)
     {
-        // Other backend servers ran it to a good end.
+        // Other backend servers have answered the request, so the crash had another cause.
         return;
     }
     const request_fingerprint fingerprint =
@@ -100,7 +102,7 @@
 void router::on_crash_records(const std::vector<crash_record>& records, time_point now)
 {
     merge_crash_records(records, now);
-    // Who told it tells the others, too.
+    // The sender distributes the records to the other processes itself.
     (void)m_crashes.take_changes(now);
     process_held(now);
 }
@@ -118,7 +120,8 @@
 // holding back
 // ---------------------------------------------------------------------------------------------------------
 
-void router::on_quarantine_state(const request_fingerprint& fingerprint, quarantine_state before, time_point now)
+void router::on_quarantine_state(const request_fingerprint& fingerprint, quarantine_state before,
+                                 time_point now)
 {
     const quarantine_state after = m_crashes.quarantine_state_of(fingerprint, now);
     if (after == before)
@@ -130,7 +133,8 @@
         report_quarantine_state{fingerprint, after, m_crashes.record_of(fingerprint, now), m_held.size()});
 }
 
-/// Does what the standing of these requests now asks for. None of them ends by it; see @ref settle_held.
+/// Holds or releases all open requests with this fingerprint, by its quarantine state. Ending quarantined
+/// requests is left to @ref process_held.
 void router::hold_or_release(const request_fingerprint& fingerprint, time_point now)
 {
     const bool holds = m_crashes.quarantine_state_of(fingerprint, now) != quarantine_state::clear;
@@ -146,11 +150,11 @@
             same.push_back(number);
         }
     }
-    // In the order of their arrival, so that the same events give the same actions.
+    // In order of arrival, so that equal events give equal actions.
     std::sort(same.begin(), same.end());
     for (const request_number number : same)
     {
-        // What is released may end others.
+        // Releasing one request may have ended others.
         const auto found = m_open.find(number);
         if (found != m_open.end())
         {
@@ -187,7 +191,8 @@
             affected_schedulers.push_back(item.scheduler_id);
         }
     }
-    // Collected only after all are released: an early end of one part must not answer before.
+    // Actions are collected after all parts are released: one part that ends at once must not cause an answer
+    // before that.
     for (const scheduler_index at : affected_schedulers)
     {
         collect(at, now);
@@ -204,7 +209,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// trials and ends
+// trial attempts and quarantine
 // ---------------------------------------------------------------------------------------------------------
 
 void router::end_trial(dispatch::subquery_id subquery, time_point now)
@@ -233,15 +238,18 @@
                                      {
                                          return !asked.is_finished && asked.is_awaited();
                                      });
-    return awaited || std::any_of(opened.parts.begin(), opened.parts.end(),
-                                  [&](const part& item)
-                                  {
-                                      return !item.is_finished && item.subquery != 0 &&
-                                             !m_service_schedulers.at(item.scheduler_id).scheduler.is_held_back(item.subquery);
-                                  });
+    return awaited ||
+           std::any_of(
+               opened.parts.begin(), opened.parts.end(),
+               [&](const part& item)
+               {
+                   return !item.is_finished && item.subquery != 0 &&
+                          !m_service_schedulers.at(item.scheduler_id).scheduler.is_held_back(item.subquery);
+               });
 }
 
-/// What still runs may answer, which would clear the request; without it there is nothing to wait for.
+/// Ends the quarantined requests that have no running parts. A running part may still be answered, which
+/// would clear the request.
 void router::end_quarantined(time_point now)
 {
     const std::vector<request_number> held(m_held.begin(), m_held.end());
@@ -250,14 +258,14 @@
         const auto found = m_open.find(number);
         if (found == m_open.end() || !found->second.held)
         {
-            // What was released before it has ended it, too.
+            // Releasing an earlier request has ended or released this one.
             continue;
         }
         open_request& opened = found->second;
         const quarantine_state known = quarantine_state_of(opened, now);
         if (known == quarantine_state::clear)
         {
-            // Its record was forgotten.
+            // The crash record has expired.
             release(number, opened, now);
         }
         else if (known == quarantine_state::quarantined && !is_under_way(opened))
@@ -270,7 +278,8 @@
     }
 }
 
-/// Tries one request that is held back, those with the fewest crashes first: they are the least likely cause.
+/// Starts a trial attempt of one held request, that with the fewest crashes first, as it is the least likely
+/// cause.
 void router::start_next_trial(time_point now)
 {
     if (m_trial || m_held.empty() || now < m_next_trial_at)
@@ -298,7 +307,7 @@
 }
 
 bool router::can_run_trial(const part& item, const std::shared_ptr<const region_set>& regions,
-                          time_point now) const
+                           time_point now) const
 {
     const dispatch::scheduler& scheduler = m_service_schedulers.at(item.scheduler_id).scheduler;
     duration retry_after{};
@@ -306,7 +315,7 @@
            scheduler.why_unavailable(0, regions, now, retry_after) == missing_reason::none;
 }
 
-/// @return whether one of its parts is being tried
+/// @return whether a trial attempt of one of the request's parts was started
 bool router::start_trial_of(request_number number, time_point now)
 {
     const open_request& opened = m_open.at(number);
@@ -324,7 +333,7 @@
     return false;
 }
 
-/// @return whether none of it may be sent to further backend servers now, here or by another entry
+/// @return whether the request must not be sent to further backend servers now, by this or another entry
 bool router::is_held_or_quarantined(open_request& opened, time_point now) const
 {
     return quarantine_state_of(opened, now) != quarantine_state::clear;
--- a/src/routing/shard_cover.cpp
+++ b/src/routing/shard_cover.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// The place that holds most shards; the first one of these.
+/// @return the location that holds the most shards; the first one of several
 std::size_t largest_location(const std::vector<location_set>& places, std::size_t count)
 {
     std::vector<std::size_t> shards(count, 0);
--- a/src/routing/shard_cover.hpp
+++ b/src/routing/shard_cover.hpp
@@ -7,12 +7,14 @@
 namespace flaxtiller::detail
 {
 
-/// @brief Gives each shard one of its places, so that few places have all: @a first takes what it can, then
-/// the one that holds most of the rest, and so on.
-/// @param places by shard
-/// @param count the number of places
-/// @param first a place, or one beyond the last for none
-/// @return shards by place
+/// @brief Assigns each shard to one of its locations, with as few locations as a greedy set cover finds.
+///
+/// The location @a first gets all shards that it holds. The location that holds the most of the remaining
+/// shards follows, until no shard is left.
+/// @param locations by shard: the locations that hold a replica
+/// @param count the number of locations
+/// @param first the preferred location; @a count or greater for none
+/// @return by location: the assigned shards
 std::vector<std::vector<std::size_t>> cover(std::vector<location_set> places, std::size_t count,
                                             std::size_t first);
 
--- a/src/routing/shard_plan.cpp
+++ b/src/routing/shard_plan.cpp
@@ -17,7 +17,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// what changed
+// changes of the view
 // ---------------------------------------------------------------------------------------------------------
 
 void shard_plan::update(const routing_view& view)
@@ -31,7 +31,7 @@
         const list_key key = key_of(*matched_route);
         if (m_lists.count(key) > 0)
         {
-            // Another route shares the list.
+            // Another route has the same list, which is up to date.
             continue;
         }
         auto kept = before.extract(key);
@@ -74,7 +74,8 @@
     return true;
 }
 
-/// @return whether entries came or went, or the number of those that share the backend servers changed
+/// @return whether entries were added or removed, or the number of those that share the backend servers
+/// changed
 bool shard_plan::update_entries(const routing_view& view)
 {
     const bool places_changed = update_zones(view);
@@ -95,7 +96,7 @@
     return true;
 }
 
-/// Sorts all entries, this one too, by where they are.
+/// Lists all entries, this instance included, by availability zone and by region.
 void shard_plan::index_entries()
 {
     m_names.clear();
@@ -184,7 +185,7 @@
     }
 }
 
-/// @return whether the list was planned anew
+/// @return whether the list was planned again
 bool shard_plan::update_list(const route& matched_route, bool entries_changed)
 {
     list_plan next = make_list(matched_route);
@@ -235,8 +236,8 @@
                                             });
 }
 
-/// Every instance works out whom all availability zones ask, and so agrees on how many share what operators
-/// allow.
+/// Computes the first owners for all availability zones, so that all instances agree on the number of owners
+/// that share a retry budget.
 void shard_plan::count_owners()
 {
     std::unordered_map<service_name, std::vector<entry_index>> owners;
@@ -269,7 +270,7 @@
     {
         return known->second.groups;
     }
-    // A route that isn't in force any more, for a request that began with it.
+    // The route is no longer in the view, but an open request began with it.
     list_plan list = make_list(matched_route);
     plan(matched_route, list);
     return m_lists.emplace(key_of(matched_route), std::move(list)).first->second.groups;
@@ -293,7 +294,7 @@
 }
 
 shard_plan::sender shard_plan::rank_among_senders(const std::vector<entry_index>& senders,
-                                          const std::string& key) const
+                                                  const std::string& key) const
 {
     const auto rank_key_of = [&](entry_index item)
     {
@@ -314,7 +315,7 @@
 {
     if (m_entry_count == 0)
     {
-        // As if there were many: few of however many there are take themselves for one of the first.
+        // A large number is assumed, so that only few instances consider themselves among the first.
         constexpr std::size_t unknown_senders = 1000;
         return {unknown_senders, hash64(key + '/' + m_self.str()) % unknown_senders};
     }
@@ -337,7 +338,8 @@
     {
         for (const group& item : list.groups)
         {
-            for (std::size_t i = 0; !item.is_round_robin && i < std::min(budgeted_owners, item.runner_candidates.size()); ++i)
+            for (std::size_t i = 0;
+                 !item.is_round_robin && i < std::min(budgeted_owners, item.runner_candidates.size()); ++i)
             {
                 names.insert(item.runner_candidates[i]);
             }
--- a/src/routing/shard_plan_groups.cpp
+++ b/src/routing/shard_plan_groups.cpp
@@ -1,4 +1,4 @@
-// How one list of shards is cut into groups, and who runs each.
+// Planning of one list of shards: division into groups and the choice of each group's candidates.
 
 #include <flaxtiller/routing/shard_plan.hpp>
 
@@ -20,17 +20,18 @@
 namespace
 {
 
-/// Rankings kept: four bytes an entry of the zone each, so 0.4 MB at 50 of them.
+/// The size of the cache of rankings. Each takes four bytes per entry of the zone: 0.4 MB at 50 entries.
 constexpr std::size_t max_rankings = 2048;
 
-/// Shards go into as many groups as there are shards in each: the sum of what the asker and an owner send is
-/// least then.
+/// @return the square root of the number of shards: the messages of the delegating entry (one per group) and
+/// of an owner (one per shard) are fewest in sum if there are as many groups as shards in each
 std::size_t group_size(std::size_t shards)
 {
     return static_cast<std::size_t>(std::ceil(std::sqrt(static_cast<double>(shards))));
 }
 
-/// @return a number of groups that a shard more or less seldom changes
+/// @return the number of groups rounded to an even number, so that adding or removing a shard seldom changes
+/// it
 std::size_t damped_group_count(std::size_t groups)
 {
     constexpr std::size_t exact_up_to = 4;
@@ -54,11 +55,13 @@
         const std::vector<planned_group> groups = plan_from(matched_route, into, zone, m_zones[zone].region);
         for (const planned_group& item : groups)
         {
-            const auto counting = static_cast<std::ptrdiff_t>(std::min(budgeted_owners, item.runner_candidates.size()));
+            const auto counting =
+                static_cast<std::ptrdiff_t>(std::min(budgeted_owners, item.runner_candidates.size()));
             for (const std::size_t shard : item.shards)
             {
                 std::vector<entry_index>& owners = into.owners[shard];
-                owners.insert(owners.end(), item.runner_candidates.begin(), item.runner_candidates.begin() + counting);
+                owners.insert(owners.end(), item.runner_candidates.begin(),
+                              item.runner_candidates.begin() + counting);
             }
         }
         if (zone == own_zone)
@@ -86,9 +89,11 @@
     return regions;
 }
 
-/// @param zone where the asker is; @ref nowhere for one in no listed zone
-std::vector<shard_plan::planned_group> shard_plan::plan_from(const route& matched_route, const list_plan& list,
-                                                             std::size_t zone, std::size_t own_region)
+/// Plans the groups for the entries of one availability zone.
+/// @param zone the delegating entry's zone; @ref no_index if that zone is not listed
+std::vector<shard_plan::planned_group> shard_plan::plan_from(const route& matched_route,
+                                                             const list_plan& list, std::size_t zone,
+                                                             std::size_t own_region)
 {
     location_set near = 0;
     for (std::size_t other = 0; other < m_zones.size(); ++other)
@@ -118,8 +123,8 @@
     {
         add_owned_groups(matched_route, at, near_cover[at], "", groups);
     }
-    // Few entries beside the far replicas run them for all of the asking region, so that these keep
-    // connections and know the latencies.
+    // A few entries near the far replicas run the shards for all of the delegating region, so that these
+    // entries keep their connections open and have latency estimates.
     const std::string region_name =
         own_region < m_regions.size() ? m_regions[own_region].name : m_region_name;
     const auto far_cover = cover(far_zones, m_zones.size(), no_index);
@@ -130,7 +135,8 @@
     return groups;
 }
 
-/// Far shards that any entry of their region may run: one group a region.
+/// Adds one group per region for the shards without a replica in the own region; any entry of that region may
+/// run the group.
 void shard_plan::add_far_groups(const list_plan& list, const std::vector<std::size_t>& far,
                                 std::vector<planned_group>& into) const
 {
@@ -149,8 +155,9 @@
     }
 }
 
-void shard_plan::add_owned_groups(const route& matched_route, std::size_t zone, const std::vector<std::size_t>& shards,
-                                  const std::string& salt, std::vector<planned_group>& into)
+void shard_plan::add_owned_groups(const route& matched_route, std::size_t zone,
+                                  const std::vector<std::size_t>& shards, const std::string& salt,
+                                  std::vector<planned_group>& into)
 {
     const std::vector<entry_index>& in_zone = m_zones[zone].entries;
     const std::vector<entry_index>& entries =
@@ -159,8 +166,8 @@
     {
         return;
     }
-    // By position in the whole fan-out, so that a shard that comes or goes leaves the other groups as they
-    // are.
+    // Divided by position in the whole fan-out, so that adding or removing a shard leaves the other groups
+    // unchanged.
     const std::size_t all = matched_route.fan_out.size();
     const std::size_t size = group_size(all);
     const std::size_t groups = damped_group_count((shards.size() + size - 1) / size);
@@ -176,8 +183,9 @@
         {
             item.shards.push_back(shards[next++]);
         }
-        item.runner_candidates = rank_entries(salt + m_zones[zone].name + '/' + matched_route.fan_out[first].str(), entries);
-        // None owns more groups than its share.
+        item.runner_candidates =
+            rank_entries(salt + m_zones[zone].name + '/' + matched_route.fan_out[first].str(), entries);
+        // No entry is the first choice for more groups than its share.
         const auto owner = std::find_if(item.runner_candidates.begin(), item.runner_candidates.end(),
                                         [&](entry_index name)
                                         {
@@ -196,9 +204,9 @@
     }
 }
 
-/// @return entries in the order of rendezvous hashing
+/// @return the entries in the order of rendezvous hashing for the key
 std::vector<shard_plan::entry_index> shard_plan::rank_entries(const std::string& key,
-                                                        const std::vector<entry_index>& entries)
+                                                              const std::vector<entry_index>& entries)
 {
     const auto known = m_rankings.find(key);
     if (known != m_rankings.end())
--- a/src/shell/routed_front_actions.cpp
+++ b/src/shell/routed_front_actions.cpp
@@ -294,8 +294,9 @@
     using quarantine_state = crash_ledger::quarantine_state;
     if (action.quarantine_state != quarantine_state::clear)
     {
-        m_metrics.add(action.quarantine_state == quarantine_state::suspect ? metrics::counter::requests_suspected
-                                                           : metrics::counter::requests_quarantined);
+        m_metrics.add(action.quarantine_state == quarantine_state::suspect
+                          ? metrics::counter::requests_suspected
+                          : metrics::counter::requests_quarantined);
     }
     std::vector<backend_server_name> servers;
     for (const server_crash& crash : action.record.crashes)
--- a/src/shell/routed_front_entries.cpp
+++ b/src/shell/routed_front_entries.cpp
@@ -42,7 +42,7 @@
                   [this, from, returned]
                   {
                       m_router.on_delegation_outcome(instance_name(from), returned->number, returned->outcome,
-                                              m_clock.now());
+                                                     m_clock.now());
                       carry_out();
                   });
 }
--- a/tests/src/unit-route-sizes.cpp
+++ b/tests/src/unit-route-sizes.cpp
@@ -32,7 +32,8 @@
             note("large", 1, 20.0, 3);
             note("small", 2, 7.0, 1);
         }
-        CHECK(sizes.relative_latency("large", 1) / sizes.relative_latency("small", 1) == Approx(4.0).epsilon(0.02));
+        CHECK(sizes.relative_latency("large", 1) / sizes.relative_latency("small", 1) ==
+              Approx(4.0).epsilon(0.02));
         CHECK(sizes.relative_latency("small", 1) < 0.5);
         CHECK(sizes.relative_latency("large", 1) > 1.0);
         CHECK(sizes.relative_latency("small", 2) == Approx(1.0));
@@ -44,7 +45,8 @@
             note("small", 1, i % 25 == 0 ? 250.0 : 5.0, 1);
             note("large", 1, i % 25 == 0 ? 250.0 : 20.0, 3);
         }
-        CHECK(sizes.relative_latency("large", 1) / sizes.relative_latency("small", 1) == Approx(4.0).epsilon(0.15));
+        CHECK(sizes.relative_latency("large", 1) / sizes.relative_latency("small", 1) ==
+              Approx(4.0).epsilon(0.15));
     }
     SECTION("follow a change")
     {
--- a/tests/src/unit-shard-plan.cpp
+++ b/tests/src/unit-shard-plan.cpp
@@ -42,7 +42,8 @@
             placed->services.emplace(item.definition.name, std::move(item));
         }
         m_view.placed = placed;
-        m_view.routes = std::make_shared<const route_table>(std::map<std::string, route>{{"all", matched_route}});
+        m_view.routes =
+            std::make_shared<const route_table>(std::map<std::string, route>{{"all", matched_route}});
         std::map<std::string, std::string> regions;
         for (const char* region : {"r1", "r2", "r3"})
         {
@@ -180,7 +181,10 @@
         std::size_t moved = 0;
         for (std::size_t i = 0; i < groups.size(); ++i)
         {
-            moved += next.groups_of(site.matched_route)[i].runner_candidates[0] != groups[i].runner_candidates[0] ? 1 : 0;
+            moved +=
+                next.groups_of(site.matched_route)[i].runner_candidates[0] != groups[i].runner_candidates[0]
+                    ? 1
+                    : 0;
         }
         CHECK(moved >= 1);
         CHECK(moved <= 4);
