--- a/include/flaxtiller/routing/router.hpp
+++ b/include/flaxtiller/routing/router.hpp
@@ -3,7 +3,7 @@
 #include <flaxtiller/dispatch/scheduler.hpp>
 #include <flaxtiller/quarantine/crash_ledger.hpp>
 #include <flaxtiller/routing/group_choice.hpp>
-#include <flaxtiller/routing/route_sizes.hpp>
+#include <flaxtiller/routing/route_latencies.hpp>
 #include <flaxtiller/routing/router_action.hpp>
 #include <flaxtiller/routing/router_options.hpp>
 #include <flaxtiller/routing/routing_view.hpp>
@@ -285,24 +285,24 @@
     void process_outcome(const instance_name& peer, delegation_number number, const routed_outcome& outcome,
                          time_point now);
     void delegate_groups(request_number number, open_request& opened, time_point now);
-    void delegate_group(request_number number, open_request& opened, group& wanted, const instance_name& peer,
+    void delegate_group(request_number number, open_request& opened, group& target_group, const instance_name& peer,
                         bool again, time_point now);
-    void run_locally(request_number number, const std::vector<std::size_t>& wanted, bool again,
+    void run_locally(request_number number, const std::vector<std::size_t>& part_indexes, bool again,
                      time_point now);
     bool run_group_locally(request_number number, group& failed_group, bool again, time_point now);
-    void replace_delegation(request_number number, group& asked, bool again, time_point now);
+    void replace_delegation(request_number number, group& delegated_group, bool again, time_point now);
     bool reassign_group(request_number number, group& failed_group, bool again, time_point now);
-    void on_delegation_failed(request_number number, group& asked, const delegation& failed,
+    void on_delegation_failed(request_number number, group& delegated_group, const delegation& failed,
                               const routed_outcome& outcome, time_point now);
     void reassign_silent_groups(request_number number, time_point now);
-    static void merge_outcome(open_request& opened, group& asked, delegation& from,
+    static void merge_outcome(open_request& opened, group& delegated_group, delegation& from,
                               const routed_outcome& outcome);
-    static void end_group(open_request& opened, group& asked);
+    static void end_group(open_request& opened, group& delegated_group);
     static void describe(const open_request& opened, routed_outcome& outcome);
     void send_progress(request_number number, open_request& opened, time_point now);
     duration round_trip_to(const instance_name& peer) const;
     void record_round_trip(const instance_name& peer, duration way);
-    bool group_has_retry_budget(const open_request& opened, const group& wanted) const;
+    bool group_has_retry_budget(const open_request& opened, const group& target_group) const;
     bool fits_attempt_limit(const open_request& opened) const;
     backend_server_name designated_of(const open_request& opened, const service_name& service,
                                       const entry_peer& near) const;
@@ -317,8 +317,8 @@
     void limit_cold_servers(const cold_servers& before, time_point now);
     void limit_cold(const backend_server_name& name, const cold_server& cold, time_point now);
     void note_due(scheduler_index at, service_scheduler& item);
-    void detach(const part& asked);
-    void submit(open_request& opened, part& wanted, double size, bool again, time_point now);
+    void detach(const part& detached);
+    void submit(open_request& opened, part& submitted, double size, bool again, time_point now);
     void collect(scheduler_index at, time_point now);
     void apply(scheduler_index at, const dispatch::start_attempt& action, time_point now);
     void apply(scheduler_index at, const dispatch::cancel_attempt& action);
--- a/include/flaxtiller/routing/shard_plan.hpp
+++ b/include/flaxtiller/routing/shard_plan.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <flaxtiller/routing/place_set.hpp>
+#include <flaxtiller/routing/location_set.hpp>
 #include <flaxtiller/routing/routing_view.hpp>
 
 #include <cstddef>
--- a/src/routing/route_sizes.cpp
+++ b/src/routing/route_latencies.cpp
@@ -1,4 +1,4 @@
-#include <flaxtiller/routing/route_sizes.hpp>
+#include <flaxtiller/routing/route_latencies.hpp>
 
 #include <algorithm>
 #include <cmath>
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -209,24 +209,24 @@
     }
 }
 
-void router::detach(const part& asked)
+void router::detach(const part& detached)
 {
-    service_scheduler& item = m_service_schedulers.at(asked.scheduler_id);
-    item.scheduler.detach(asked.subquery);
-    note_due(asked.scheduler_id, item);
+    service_scheduler& item = m_service_schedulers.at(detached.scheduler_id);
+    item.scheduler.detach(detached.subquery);
+    note_due(detached.scheduler_id, item);
 }
 
-void router::run_locally(request_number number, const std::vector<std::size_t>& wanted, bool again,
+void router::run_locally(request_number number, const std::vector<std::size_t>& part_indexes, bool again,
                          time_point now)
 {
     open_request& opened = m_open.at(number);
     const double size = m_route_latencies.relative_latency(opened.matched_route->name, opened.list);
-    if (wanted.size() >= min_parts_to_compare)
+    if (part_indexes.size() >= min_parts_to_compare)
     {
         opened.progress = std::make_shared<dispatch::fan_out_progress>();
     }
     std::vector<scheduler_index> affected_schedulers;
-    for (const std::size_t at : wanted)
+    for (const std::size_t at : part_indexes)
     {
         part& item = opened.parts[at];
         item.scheduler_id = scheduler_index_of(item.service);
@@ -234,7 +234,7 @@
         m_subquery_owners.emplace(item.subquery, subquery_owner{number, at});
         affected_schedulers.push_back(item.scheduler_id);
     }
-    for (const std::size_t at : wanted)
+    for (const std::size_t at : part_indexes)
     {
         submit(opened, opened.parts[at], size, again, now);
     }
@@ -309,19 +309,19 @@
     dispatch::scheduler& scheduler = item.scheduler;
     for (auto todo = scheduler.take_actions(); !todo.empty(); todo = scheduler.take_actions())
     {
-        for (const dispatch::action& wanted : todo)
+        for (const dispatch::action& action : todo)
         {
-            if (const auto* start = std::get_if<dispatch::start_attempt>(&wanted))
+            if (const auto* start = std::get_if<dispatch::start_attempt>(&action))
             {
                 apply(at, *start, now);
             }
-            else if (const auto* cancel = std::get_if<dispatch::cancel_attempt>(&wanted))
+            else if (const auto* cancel = std::get_if<dispatch::cancel_attempt>(&action))
             {
                 apply(at, *cancel);
             }
             else
             {
-                apply(at, std::get<dispatch::finish_subquery>(wanted), now);
+                apply(at, std::get<dispatch::finish_subquery>(action), now);
             }
         }
     }
--- a/src/routing/router_admission.cpp
+++ b/src/routing/router_admission.cpp
@@ -67,9 +67,9 @@
     std::vector<part> parts;
     const auto add = [&](const service_name& service, std::size_t shard)
     {
-        part& wanted = parts.emplace_back();
-        wanted.service = service;
-        wanted.shard = shard;
+        part& added = parts.emplace_back();
+        added.service = service;
+        added.shard = shard;
     };
     if (!matched_route.fans_out())
     {
@@ -222,27 +222,27 @@
         delegate_groups(number, opened, now);
     }
     set_timer(number, opened);
-    std::vector<bool> here(opened.parts.size(), true);
-    for (const group& asked : opened.groups)
+    std::vector<bool> runs_locally(opened.parts.size(), true);
+    for (const group& delegated_group : opened.groups)
     {
-        for (const std::size_t at : asked.parts)
+        for (const std::size_t at : delegated_group.parts)
         {
-            here[at] = false;
+            runs_locally[at] = false;
         }
     }
-    std::vector<std::size_t> wanted;
-    for (std::size_t at = 0; at < here.size(); ++at)
+    std::vector<std::size_t> local_parts;
+    for (std::size_t at = 0; at < runs_locally.size(); ++at)
     {
-        if (here[at])
+        if (runs_locally[at])
         {
-            wanted.push_back(at);
+            local_parts.push_back(at);
         }
     }
     if (opened.held)
     {
         m_held.insert(number);
     }
-    run_locally(number, wanted, opened.request->is_repeated_delegation, now);
+    run_locally(number, local_parts, opened.request->is_repeated_delegation, now);
     process_held(now);
 }
 
--- a/src/routing/router_answers.cpp
+++ b/src/routing/router_answers.cpp
@@ -18,8 +18,8 @@
 
 bool router::has_min_share(const open_request& opened) const
 {
-    const auto wanted = least_share_of(opened) * static_cast<double>(opened.parts.size());
-    return opened.succeeded > 0 && static_cast<double>(opened.succeeded) >= wanted;
+    const auto required = least_share_of(opened) * static_cast<double>(opened.parts.size());
+    return opened.succeeded > 0 && static_cast<double>(opened.succeeded) >= required;
 }
 
 void router::settle(request_number number, open_request& opened, time_point now)
@@ -36,13 +36,13 @@
 
 void router::settle_single(request_number number, open_request& opened)
 {
-    const part& asked = opened.parts.front();
+    const part& item = opened.parts.front();
     // An error answer of the backend server is forwarded too if no attempt succeeded.
-    if (asked.answer)
+    if (item.answer)
     {
         routed_outcome result;
         result.end = routed_end::passed_on;
-        result.answer = asked.answer;
+        result.answer = item.answer;
         finish(number, opened, std::move(result));
         return;
     }
@@ -77,13 +77,13 @@
 std::size_t router::succeeded_parts(const open_request& opened)
 {
     auto count = static_cast<std::size_t>(std::count_if(opened.parts.begin(), opened.parts.end(),
-                                                        [](const part& asked)
+                                                        [](const part& item)
                                                         {
-                                                            return asked.has_succeeded();
+                                                            return item.has_succeeded();
                                                         }));
-    for (const group& asked : opened.groups)
+    for (const group& delegated_group : opened.groups)
     {
-        count += asked.outcome.signatures.size();
+        count += delegated_group.outcome.signatures.size();
     }
     return count;
 }
@@ -93,22 +93,22 @@
     routed_outcome result;
     result.end = routed_end::merged;
     std::vector<std::string_view> bodies;
-    for (const part& asked : opened.parts)
+    for (const part& item : opened.parts)
     {
-        if (asked.has_succeeded() && !asked.is_reported)
+        if (item.has_succeeded() && !item.is_reported)
         {
-            bodies.emplace_back(asked.answer->body);
-            result.signatures.push_back(asked.answer->signature);
+            bodies.emplace_back(item.answer->body);
+            result.signatures.push_back(item.answer->signature);
         }
     }
-    for (const group& asked : opened.groups)
+    for (const group& delegated_group : opened.groups)
     {
-        if (!asked.outcome.signatures.empty())
+        if (!delegated_group.outcome.signatures.empty())
         {
-            bodies.emplace_back(asked.outcome.merged);
-            result.signatures.insert(result.signatures.end(), asked.outcome.signatures.begin(),
-                                     asked.outcome.signatures.end());
-            result.delegates.push_back(asked.answered_by);
+            bodies.emplace_back(delegated_group.outcome.merged);
+            result.signatures.insert(result.signatures.end(), delegated_group.outcome.signatures.begin(),
+                                     delegated_group.outcome.signatures.end());
+            result.delegates.push_back(delegated_group.answered_by);
         }
     }
     // Computed from the received signatures, not from the lists of missing shards that other entries sent:
@@ -132,9 +132,9 @@
     result.is_progress = true;
     describe(opened, result);
     result.took = now - opened.arrived_at;
-    for (part& asked : opened.parts)
+    for (part& item : opened.parts)
     {
-        asked.is_reported = asked.has_succeeded();
+        item.is_reported = item.has_succeeded();
     }
     m_actions.emplace_back(send_partial_outcome{number, std::move(result)});
 }
@@ -167,16 +167,16 @@
 void router::fail(request_number number, open_request& opened, bool late)
 {
     const bool running = std::any_of(opened.parts.begin(), opened.parts.end(),
-                                     [](const part& asked)
+                                     [](const part& item)
                                      {
-                                         return !asked.is_finished;
+                                         return !item.is_finished;
                                      });
     routed_outcome result;
     result.end = routed_end::refused;
     const bool is_delegation_pending = std::any_of(opened.groups.begin(), opened.groups.end(),
-                                                   [](const group& asked)
+                                                   [](const group& delegated_group)
                                                    {
-                                                       return !asked.is_finished;
+                                                       return !delegated_group.is_finished;
                                                    });
     if (opened.may_have_run || (running && opened.attempts > 0) || is_delegation_pending)
     {
@@ -194,15 +194,15 @@
         return missing;
     }
     std::vector<bool> known_from_group(opened.parts.size(), false);
-    for (const group& asked : opened.groups)
+    for (const group& delegated_group : opened.groups)
     {
-        if (asked.outcome.signatures.empty())
+        if (delegated_group.outcome.signatures.empty())
         {
             continue;
         }
-        missing.insert(missing.end(), asked.outcome.missing_shards.begin(),
-                       asked.outcome.missing_shards.end());
-        for (const std::size_t at : asked.parts)
+        missing.insert(missing.end(), delegated_group.outcome.missing_shards.begin(),
+                       delegated_group.outcome.missing_shards.end());
+        for (const std::size_t at : delegated_group.parts)
         {
             known_from_group[at] = true;
         }
--- a/src/routing/router_groups.cpp
+++ b/src/routing/router_delegation.cpp
@@ -25,13 +25,13 @@
     opened.designates_servers = !chosen_groups.empty() && !fits_attempt_limit(opened);
     for (const group_choice::group& chosen : chosen_groups)
     {
-        group& wanted = opened.groups.emplace_back();
-        wanted.parts = chosen.shards;
-        delegate_group(number, opened, wanted, chosen.peer, false, now);
+        group& target_group = opened.groups.emplace_back();
+        target_group.parts = chosen.shards;
+        delegate_group(number, opened, target_group, chosen.peer, false, now);
     }
 }
 
-void router::delegate_group(request_number number, open_request& opened, group& wanted,
+void router::delegate_group(request_number number, open_request& opened, group& target_group,
                             const instance_name& peer, bool again, time_point now)
 {
     delegate_shards sent;
@@ -46,21 +46,21 @@
     sent.regions = opened.matched_route->allowed_regions;
     sent.sent = opened.request;
     const auto listed = m_peers.find(peer);
-    const bool first = wanted.delegations.empty();
+    const bool first = target_group.delegations.empty();
     const bool designates_servers = opened.designates_servers && first && listed != m_peers.end();
-    for (const std::size_t at : wanted.parts)
+    for (const std::size_t at : target_group.parts)
     {
         sent.shards.push_back(opened.parts[at].shard);
         if (designates_servers)
         {
-            wanted.designated.push_back(designated_of(opened, opened.parts[at].service, listed->second));
+            target_group.designated.push_back(designated_of(opened, opened.parts[at].service, listed->second));
         }
     }
-    sent.designated = wanted.designated;
+    sent.designated = target_group.designated;
     const time_point progress_due = now + sent.progress_within + way + m_options.progress_grace;
     opened.group_check_at = std::min(opened.group_check_at, progress_due);
     m_delegations.emplace(sent.number, number);
-    delegation& sent_delegation = wanted.delegations.emplace_back();
+    delegation& sent_delegation = target_group.delegations.emplace_back();
     sent_delegation.number = sent.number;
     sent_delegation.peer = peer;
     sent_delegation.sent_at = now;
@@ -70,13 +70,13 @@
 duration router::round_trip_to(const instance_name& peer) const
 {
     const auto listed = m_peers.find(peer);
-    const std::string& where = listed == m_peers.end() ? m_view.region : listed->second.region;
-    const auto known = m_round_trips.find(where);
+    const std::string& region_name = listed == m_peers.end() ? m_view.region : listed->second.region;
+    const auto known = m_round_trips.find(region_name);
     if (known != m_round_trips.end())
     {
         return known->second;
     }
-    return where == m_view.region ? m_options.initial_round_trip_near : m_options.initial_round_trip_far;
+    return region_name == m_view.region ? m_options.initial_round_trip_near : m_options.initial_round_trip_far;
 }
 
 void router::record_round_trip(const instance_name& peer, duration way)
@@ -115,7 +115,7 @@
 backend_server_name router::designated_of(const open_request& opened, const service_name& service,
                                           const entry_peer& near) const
 {
-    constexpr int leaves = 3;
+    constexpr int leaving_penalty = 3;
     const auto placed = m_view.placed->services.find(service);
     backend_server_name chosen;
     int nearest = std::numeric_limits<int>::max();
@@ -124,16 +124,16 @@
     {
         const backend_server& server = placed->second->shards[0][i];
         const auto region = m_view.region_of_zone->find(server.availability_zone);
-        const std::string where = region == m_view.region_of_zone->end() ? std::string() : region->second;
-        if (opened.regions && !opened.regions->allows(where))
+        const std::string region_name = region == m_view.region_of_zone->end() ? std::string() : region->second;
+        if (opened.regions && !opened.regions->allows(region_name))
         {
             continue;
         }
-        const bool same_region = !where.empty() && where == near.region;
+        const bool same_region = !region_name.empty() && region_name == near.region;
         const int distance = (server.availability_zone == near.availability_zone ? 0
                               : same_region                                      ? 1
                                                                                  : 2) +
-                             (server.leaving ? leaves : 0);
+                             (server.leaving ? leaving_penalty : 0);
         if (distance < nearest)
         {
             chosen = server.name;
@@ -143,9 +143,9 @@
     return chosen;
 }
 
-bool router::group_has_retry_budget(const open_request& opened, const group& wanted) const
+bool router::group_has_retry_budget(const open_request& opened, const group& target_group) const
 {
-    return std::all_of(wanted.parts.begin(), wanted.parts.end(),
+    return std::all_of(target_group.parts.begin(), target_group.parts.end(),
                        [&](std::size_t at)
                        {
                            const dispatch::scheduler* scheduler = scheduler_of(opened.parts[at].service);
@@ -169,12 +169,12 @@
     {
         m_delegations.erase(sent.number);
     }
-    const std::vector<std::size_t> wanted = failed_group.parts;
+    const std::vector<std::size_t> wanted_parts = failed_group.parts;
     for (std::size_t i = 0; again && i < failed_group.designated.size(); ++i)
     {
-        opened.parts[wanted[i]].designated = failed_group.designated[i];
+        opened.parts[wanted_parts[i]].designated = failed_group.designated[i];
     }
-    run_locally(number, wanted, again, now);
+    run_locally(number, wanted_parts, again, now);
     return true;
 }
 
@@ -212,12 +212,12 @@
         {
             return;
         }
-        group& asked = found->second.groups[i];
-        if (asked.is_silent())
+        group& delegated_group = found->second.groups[i];
+        if (delegated_group.is_silent())
         {
-            m_groups.failed(asked.delegations.back().peer, now);
+            m_groups.failed(delegated_group.delegations.back().peer, now);
             // If the group can't be reassigned, its outcome may still arrive before the deadline.
-            (void)reassign_group(number, asked, true, now);
+            (void)reassign_group(number, delegated_group, true, now);
         }
     }
 }
@@ -225,13 +225,13 @@
 void router::on_entry_disconnected(const instance_name& peer, time_point now)
 {
     m_groups.failed(peer, now);
-    std::vector<std::pair<request_number, std::size_t>> hit;
+    std::vector<std::pair<request_number, std::size_t>> affected_groups;
     for (auto& [number, opened] : m_open)
     {
         for (std::size_t i = 0; i < opened.groups.size(); ++i)
         {
-            group& asked = opened.groups[i];
-            for (delegation& sent : asked.delegations)
+            group& delegated_group = opened.groups[i];
+            for (delegation& sent : delegated_group.delegations)
             {
                 if (sent.peer == peer && !sent.is_finished)
                 {
@@ -241,13 +241,13 @@
                     m_delegations.erase(sent.number);
                 }
             }
-            if (!asked.is_finished && !asked.is_awaited())
+            if (!delegated_group.is_finished && !delegated_group.is_awaited())
             {
-                hit.emplace_back(number, i);
+                affected_groups.emplace_back(number, i);
             }
         }
     }
-    for (const auto& [number, at] : hit)
+    for (const auto& [number, at] : affected_groups)
     {
         const auto found = m_open.find(number);
         if (found != m_open.end() && !found->second.groups[at].is_finished)
@@ -259,14 +259,14 @@
 
 /// Handles a group whose last delegation can't succeed any more: parts that were received are kept; without
 /// any the group is reassigned.
-void router::replace_delegation(request_number number, group& asked, bool again, time_point now)
+void router::replace_delegation(request_number number, group& delegated_group, bool again, time_point now)
 {
-    if (asked.outcome.signatures.empty() && reassign_group(number, asked, again, now))
+    if (delegated_group.outcome.signatures.empty() && reassign_group(number, delegated_group, again, now))
     {
         return;
     }
     open_request& opened = m_open.at(number);
-    end_group(opened, asked);
+    end_group(opened, delegated_group);
     settle(number, opened, now);
 }
 
@@ -276,7 +276,7 @@
 
 /// Adds an outcome to the earlier outcomes of the same delegation. If two entries run the same shards, the
 /// more complete result counts.
-void router::merge_outcome(open_request& opened, group& asked, delegation& from,
+void router::merge_outcome(open_request& opened, group& delegated_group, delegation& from,
                            const routed_outcome& outcome)
 {
     routed_outcome& sum = from.outcome;
@@ -284,21 +284,21 @@
     sum.merged = top_records({sum.merged, outcome.merged},
                              static_cast<std::size_t>(opened.matched_route->top_records));
     sum.missing_shards = outcome.missing_shards;
-    if (sum.signatures.size() < asked.outcome.signatures.size())
+    if (sum.signatures.size() < delegated_group.outcome.signatures.size())
     {
         return;
     }
     opened.succeeded +=
-        static_cast<int>(sum.signatures.size()) - static_cast<int>(asked.outcome.signatures.size());
-    asked.outcome = sum;
-    asked.answered_by = from.peer;
+        static_cast<int>(sum.signatures.size()) - static_cast<int>(delegated_group.outcome.signatures.size());
+    delegated_group.outcome = sum;
+    delegated_group.answered_by = from.peer;
 }
 
-void router::end_group(open_request& opened, group& asked)
+void router::end_group(open_request& opened, group& delegated_group)
 {
-    asked.is_finished = true;
-    opened.missing += static_cast<int>(asked.parts.size() - asked.outcome.signatures.size());
-    for (const std::size_t at : asked.parts)
+    delegated_group.is_finished = true;
+    opened.missing += static_cast<int>(delegated_group.parts.size() - delegated_group.outcome.signatures.size());
+    for (const std::size_t at : delegated_group.parts)
     {
         opened.parts[at].is_finished = true;
     }
@@ -322,17 +322,17 @@
     }
     const request_number request = known->second;
     open_request& opened = m_open.at(request);
-    const auto holds = [&](const delegation& sent)
+    const auto has_number = [&](const delegation& sent)
     {
         return sent.number == number;
     };
-    const auto asked =
+    const auto delegated_group =
         std::find_if(opened.groups.begin(), opened.groups.end(),
                      [&](const group& item)
                      {
-                         return std::any_of(item.delegations.begin(), item.delegations.end(), holds);
+                         return std::any_of(item.delegations.begin(), item.delegations.end(), has_number);
                      });
-    delegation& sent = *std::find_if(asked->delegations.begin(), asked->delegations.end(), holds);
+    delegation& sent = *std::find_if(delegated_group->delegations.begin(), delegated_group->delegations.end(), has_number);
     sent.has_replied = true;
     sent.is_finished = !outcome.is_progress;
     opened.may_have_run = opened.may_have_run || outcome.attempts > 0;
@@ -342,25 +342,25 @@
     }
     if (outcome.end != routed_end::merged)
     {
-        on_delegation_failed(request, *asked, sent, outcome, now);
+        on_delegation_failed(request, *delegated_group, sent, outcome, now);
         return;
     }
     record_round_trip(peer, now - sent.sent_at - outcome.took);
     m_groups.answered(peer);
-    merge_outcome(opened, *asked, sent, outcome);
+    merge_outcome(opened, *delegated_group, sent, outcome);
     if (sent.is_finished)
     {
         opened.attempts += outcome.attempts;
     }
-    if (!asked->is_awaited() || asked->outcome.signatures.size() == asked->parts.size())
+    if (!delegated_group->is_awaited() || delegated_group->outcome.signatures.size() == delegated_group->parts.size())
     {
-        end_group(opened, *asked);
+        end_group(opened, *delegated_group);
     }
     settle(request, opened, now);
 }
 
 /// Handles a delegation that ended without any parts.
-void router::on_delegation_failed(request_number number, group& asked, const delegation& failed,
+void router::on_delegation_failed(request_number number, group& delegated_group, const delegation& failed,
                                   const routed_outcome& outcome, time_point now)
 {
     m_groups.failed(failed.peer, now);
@@ -368,10 +368,10 @@
     open_request& opened = m_open.at(number);
     opened.may_have_run = opened.may_have_run || !not_run;
     opened.reason = outcome.reason;
-    const bool first = asked.delegations.size() == 1;
-    if (!asked.is_awaited())
+    const bool first = delegated_group.delegations.size() == 1;
+    if (!delegated_group.is_awaited())
     {
-        replace_delegation(number, asked, !(not_run && first), now);
+        replace_delegation(number, delegated_group, !(not_run && first), now);
     }
 }
 
@@ -379,27 +379,27 @@
 // running and stopping
 // ---------------------------------------------------------------------------------------------------------
 
-void router::submit(open_request& opened, part& wanted, double size, bool again, time_point now)
+void router::submit(open_request& opened, part& submitted, double size, bool again, time_point now)
 {
-    dispatch::subquery asked;
-    asked.id = wanted.subquery;
-    asked.deadline = opened.deadline;
-    asked.repeatable = opened.matched_route->repeatable;
-    asked.most_attempts = opened.matched_route->most_attempts;
-    asked.again = again;
-    asked.designated = wanted.designated;
-    asked.regions = opened.regions;
-    asked.size = size;
-    asked.held = opened.held;
-    asked.fan_out = opened.progress;
-    m_service_schedulers.at(wanted.scheduler_id).scheduler.submit(asked, now);
+    dispatch::subquery new_subquery;
+    new_subquery.id = submitted.subquery;
+    new_subquery.deadline = opened.deadline;
+    new_subquery.repeatable = opened.matched_route->repeatable;
+    new_subquery.most_attempts = opened.matched_route->most_attempts;
+    new_subquery.again = again;
+    new_subquery.designated = submitted.designated;
+    new_subquery.regions = opened.regions;
+    new_subquery.size = size;
+    new_subquery.held = opened.held;
+    new_subquery.fan_out = opened.progress;
+    m_service_schedulers.at(submitted.scheduler_id).scheduler.submit(new_subquery, now);
 }
 
 void router::abandon_delegations(const open_request& opened, bool stops)
 {
-    for (const group& asked : opened.groups)
+    for (const group& delegated_group : opened.groups)
     {
-        for (const delegation& sent : asked.delegations)
+        for (const delegation& sent : delegated_group.delegations)
         {
             if (m_delegations.erase(sent.number) > 0)
             {
@@ -411,12 +411,12 @@
 
 void router::detach_parts(const open_request& opened)
 {
-    for (const part& asked : opened.parts)
+    for (const part& requested_part : opened.parts)
     {
-        if (!asked.is_finished && asked.subquery != 0)
+        if (!requested_part.is_finished && requested_part.subquery != 0)
         {
-            m_subquery_owners.erase(asked.subquery);
-            detach(asked);
+            m_subquery_owners.erase(requested_part.subquery);
+            detach(requested_part);
         }
     }
 }
@@ -445,13 +445,13 @@
     m_open.erase(found);
     forget_held(number);
     abandon_delegations(opened, true);
-    for (const part& asked : opened.parts)
+    for (const part& requested_part : opened.parts)
     {
-        m_subquery_owners.erase(asked.subquery);
-        if (!asked.is_finished && asked.subquery != 0)
+        m_subquery_owners.erase(requested_part.subquery);
+        if (!requested_part.is_finished && requested_part.subquery != 0)
         {
-            m_service_schedulers.at(asked.scheduler_id).scheduler.abandon(asked.subquery, now);
-            collect(asked.scheduler_id, now);
+            m_service_schedulers.at(requested_part.scheduler_id).scheduler.abandon(requested_part.subquery, now);
+            collect(requested_part.scheduler_id, now);
         }
     }
 }
--- a/src/routing/router_suspects.cpp
+++ b/src/routing/router_quarantine.cpp
@@ -234,9 +234,9 @@
 bool router::is_under_way(const open_request& opened) const
 {
     const bool awaited = std::any_of(opened.groups.begin(), opened.groups.end(),
-                                     [](const group& asked)
+                                     [](const group& delegated_group)
                                      {
-                                         return !asked.is_finished && asked.is_awaited();
+                                         return !delegated_group.is_finished && delegated_group.is_awaited();
                                      });
     return awaited ||
            std::any_of(
--- a/src/routing/shard_cover.hpp
+++ b/src/routing/shard_cover.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <flaxtiller/routing/place_set.hpp>
+#include <flaxtiller/routing/location_set.hpp>
 
 #include <vector>
 
@@ -15,7 +15,7 @@
 /// @param count the number of locations
 /// @param first the preferred location; @a count or greater for none
 /// @return by location: the assigned shards
-std::vector<std::vector<std::size_t>> cover(std::vector<location_set> places, std::size_t count,
+std::vector<std::vector<std::size_t>> greedy_cover(std::vector<location_set> locations, std::size_t count,
                                             std::size_t first);
 
 } // namespace flaxtiller::detail
--- a/src/routing/shard_plan.cpp
+++ b/src/routing/shard_plan.cpp
@@ -9,7 +9,7 @@
 namespace flaxtiller
 {
 
-using detail::only;
+using detail::single_location;
 
 shard_plan::shard_plan(const routing_view& view)
 {
@@ -180,7 +180,7 @@
             std::min(into.most_direct_entries, server.connection_limit / std::max(server.slots, 1));
         if (!server.leaving)
         {
-            into.zones |= only(zone_index(server.availability_zone));
+            into.zones |= single_location(zone_index(server.availability_zone));
         }
     }
 }
@@ -220,7 +220,7 @@
     location_set zones = 0;
     for (std::size_t zone = 0; zone < m_zones.size(); ++zone)
     {
-        zones |= regions.allows(m_regions[m_zones[zone].region].name) ? only(zone) : 0;
+        zones |= regions.allows(m_regions[m_zones[zone].region].name) ? single_location(zone) : 0;
     }
     return zones;
 }
--- a/tests/src/unit-route-sizes.cpp
+++ b/tests/src/unit-route-latencies.cpp
@@ -1,6 +1,6 @@
 // How long a route's parts take, relative to the list of shards that it shares with others.
 
-#include <flaxtiller/routing/route_sizes.hpp>
+#include <flaxtiller/routing/route_latencies.hpp>
 
 #include <catch2/catch.hpp>
 
