--- a/include/flaxtiller/routing/caller_admission.hpp
+++ b/include/flaxtiller/routing/caller_admission.hpp
@@ -66,7 +66,7 @@
     }
 
     /// @brief A reply of the rate limit coordinator was received.
-    void on_limit_word(const limit_word& word, time_point now);
+    void on_limit_update(const limit_word& word, time_point now);
 
     /// @brief Handles everything that is due at @a now.
     void on_time(time_point now);
@@ -97,7 +97,7 @@
 
   private:
     void admit(request_number number, routed_request request);
-    void turn_away(request_number number, routed_end end, const std::string& route,
+    void reject(request_number number, routed_end end, const std::string& route,
                    std::optional<rate_limiter::decision> over_limit = std::nullopt);
     void apply(const rate_limiter::decision& made, routed_request request, const std::string& route);
 
--- a/src/entry/entry_links.cpp
+++ b/src/entry/entry_links.cpp
@@ -86,7 +86,7 @@
     }
     if (const auto* limits = std::get_if<limit_word>(&*message))
     {
-        routed->on_limit_word(from.name, {message, limits});
+        routed->on_limit_update(from.name, {message, limits});
         return true;
     }
     return false;
--- a/src/routing/caller_admission.cpp
+++ b/src/routing/caller_admission.cpp
@@ -28,7 +28,7 @@
     m_actions.emplace_back(admit_request{number, std::make_shared<const routed_request>(std::move(request))});
 }
 
-void caller_admission::turn_away(request_number number, routed_end end, const std::string& route,
+void caller_admission::reject(request_number number, routed_end end, const std::string& route,
                                  std::optional<rate_limiter::decision> over_limit)
 {
     routed_outcome result;
@@ -57,7 +57,7 @@
     const authentication caller = m_teams->authenticate(by.get(), key);
     if (!caller.is_allowed)
     {
-        turn_away(number, routed_end::unauthorized, route);
+        reject(number, routed_end::unauthorized, route);
         return;
     }
     if (caller.by == nullptr)
@@ -88,7 +88,7 @@
         admit(made.request, std::move(request));
         return;
     }
-    turn_away(made.request, routed_end::over_limit, route, made);
+    reject(made.request, routed_end::over_limit, route, made);
 }
 
 void caller_admission::caller_gone(request_number number)
@@ -99,7 +99,7 @@
     }
 }
 
-void caller_admission::on_limit_word(const limit_word& word, time_point now)
+void caller_admission::on_limit_update(const limit_word& word, time_point now)
 {
     m_limiter.on_word(word, now);
 }
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -309,19 +309,19 @@
     dispatch::scheduler& scheduler = item.scheduler;
     for (auto todo = scheduler.take_actions(); !todo.empty(); todo = scheduler.take_actions())
     {
-        for (const dispatch::action& action : todo)
+        for (const dispatch::action& requested : todo)
         {
-            if (const auto* start = std::get_if<dispatch::start_attempt>(&action))
+            if (const auto* start = std::get_if<dispatch::start_attempt>(&requested))
             {
                 apply(at, *start, now);
             }
-            else if (const auto* cancel = std::get_if<dispatch::cancel_attempt>(&action))
+            else if (const auto* cancel = std::get_if<dispatch::cancel_attempt>(&requested))
             {
                 apply(at, *cancel);
             }
             else
             {
-                apply(at, std::get<dispatch::finish_subquery>(action), now);
+                apply(at, std::get<dispatch::finish_subquery>(requested), now);
             }
         }
     }
--- a/src/shell/routed_front_entries.cpp
+++ b/src/shell/routed_front_entries.cpp
@@ -74,7 +74,7 @@
     carry_out();
 }
 
-void routed_front::on_limit_word(const std::string& from, const std::shared_ptr<const limit_word>& word)
+void routed_front::on_limit_update(const std::string& from, const std::shared_ptr<const limit_word>& word)
 {
     net::dispatch(
         m_strand,
@@ -86,7 +86,7 @@
                 log(log_level::info, "limit_word_ignored", {{"from", from}, {"keeper", m_limit_keeper}});
                 return;
             }
-            m_admission.on_limit_word(*word, m_clock.now());
+            m_admission.on_limit_update(*word, m_clock.now());
             carry_out();
         });
 }
