--- a/include/flaxtiller/routing/caller_admission.hpp
+++ b/include/flaxtiller/routing/caller_admission.hpp
@@ -98,7 +98,7 @@
   private:
     void admit(request_number number, routed_request request);
     void reject(request_number number, routed_end end, const std::string& route,
-                   std::optional<rate_limiter::decision> over_limit = std::nullopt);
+                std::optional<rate_limiter::decision> over_limit = std::nullopt);
     void apply(const rate_limiter::decision& made, routed_request request, const std::string& route);
 
     struct held_request
--- a/include/flaxtiller/routing/router.hpp
+++ b/include/flaxtiller/routing/router.hpp
@@ -285,8 +285,8 @@
     void process_outcome(const instance_name& peer, delegation_number number, const routed_outcome& outcome,
                          time_point now);
     void delegate_groups(request_number number, open_request& opened, time_point now);
-    void delegate_group(request_number number, open_request& opened, group& target_group, const instance_name& peer,
-                        bool again, time_point now);
+    void delegate_group(request_number number, open_request& opened, group& target_group,
+                        const instance_name& peer, bool again, time_point now);
     void run_locally(request_number number, const std::vector<std::size_t>& part_indexes, bool again,
                      time_point now);
     bool run_group_locally(request_number number, group& failed_group, bool again, time_point now);
--- a/src/routing/caller_admission.cpp
+++ b/src/routing/caller_admission.cpp
@@ -29,7 +29,7 @@
 }
 
 void caller_admission::reject(request_number number, routed_end end, const std::string& route,
-                                 std::optional<rate_limiter::decision> over_limit)
+                              std::optional<rate_limiter::decision> over_limit)
 {
     routed_outcome result;
     result.end = end;
--- a/src/routing/router_delegation.cpp
+++ b/src/routing/router_delegation.cpp
@@ -53,7 +53,8 @@
         sent.shards.push_back(opened.parts[at].shard);
         if (designates_servers)
         {
-            target_group.designated.push_back(designated_of(opened, opened.parts[at].service, listed->second));
+            target_group.designated.push_back(
+                designated_of(opened, opened.parts[at].service, listed->second));
         }
     }
     sent.designated = target_group.designated;
@@ -76,7 +77,8 @@
     {
         return known->second;
     }
-    return region_name == m_view.region ? m_options.initial_round_trip_near : m_options.initial_round_trip_far;
+    return region_name == m_view.region ? m_options.initial_round_trip_near
+                                        : m_options.initial_round_trip_far;
 }
 
 void router::record_round_trip(const instance_name& peer, duration way)
@@ -124,7 +126,8 @@
     {
         const backend_server& server = placed->second->shards[0][i];
         const auto region = m_view.region_of_zone->find(server.availability_zone);
-        const std::string region_name = region == m_view.region_of_zone->end() ? std::string() : region->second;
+        const std::string region_name =
+            region == m_view.region_of_zone->end() ? std::string() : region->second;
         if (opened.regions && !opened.regions->allows(region_name))
         {
             continue;
@@ -297,7 +300,8 @@
 void router::end_group(open_request& opened, group& delegated_group)
 {
     delegated_group.is_finished = true;
-    opened.missing += static_cast<int>(delegated_group.parts.size() - delegated_group.outcome.signatures.size());
+    opened.missing +=
+        static_cast<int>(delegated_group.parts.size() - delegated_group.outcome.signatures.size());
     for (const std::size_t at : delegated_group.parts)
     {
         opened.parts[at].is_finished = true;
@@ -332,7 +336,8 @@
                      {
                          return std::any_of(item.delegations.begin(), item.delegations.end(), has_number);
                      });
-    delegation& sent = *std::find_if(delegated_group->delegations.begin(), delegated_group->delegations.end(), has_number);
+    delegation& sent =
+        *std::find_if(delegated_group->delegations.begin(), delegated_group->delegations.end(), has_number);
     sent.has_replied = true;
     sent.is_finished = !outcome.is_progress;
     opened.may_have_run = opened.may_have_run || outcome.attempts > 0;
@@ -352,7 +357,8 @@
     {
         opened.attempts += outcome.attempts;
     }
-    if (!delegated_group->is_awaited() || delegated_group->outcome.signatures.size() == delegated_group->parts.size())
+    if (!delegated_group->is_awaited() ||
+        delegated_group->outcome.signatures.size() == delegated_group->parts.size())
     {
         end_group(opened, *delegated_group);
     }
@@ -450,7 +456,8 @@
         m_subquery_owners.erase(requested_part.subquery);
         if (!requested_part.is_finished && requested_part.subquery != 0)
         {
-            m_service_schedulers.at(requested_part.scheduler_id).scheduler.abandon(requested_part.subquery, now);
+            m_service_schedulers.at(requested_part.scheduler_id)
+                .scheduler.abandon(requested_part.subquery, now);
             collect(requested_part.scheduler_id, now);
         }
     }
--- a/src/routing/shard_plan_groups.cpp
+++ b/src/routing/shard_plan_groups.cpp
@@ -13,8 +13,8 @@
 namespace flaxtiller
 {
 
-using detail::greedy_cover;
 using detail::contains_location;
+using detail::greedy_cover;
 using detail::single_location;
 
 namespace
--- a/tests/src/router_driver.hpp
+++ b/tests/src/router_driver.hpp
@@ -34,7 +34,7 @@
     return item;
 }
 
-/// Drives a router by hand in virtual time.
+/// Runs a router in simulated time: tests send it events, and the driver records the resulting actions.
 class router_driver
 {
   public:
@@ -42,7 +42,7 @@
     {
     }
 
-    void serve(std::map<std::string, route> routes, int services, int replicas = 2)
+    void configure(std::map<std::string, route> routes, int services, int replicas = 2)
     {
         auto placed = std::make_shared<placement>();
         placed->revision = ++m_revision;
@@ -73,10 +73,10 @@
         view.region_of_zone = std::map<std::string, std::string>{{"near-zone", "near"}, {"far-zone", "far"}};
         view.peers = peers;
         m_router.configure(view, now);
-        take();
+        process_actions();
     }
 
-    request_number ask(const std::string& target, double patience_ms = 1000.0)
+    request_number submit(const std::string& target, double patience_ms = 1000.0)
     {
         auto request = std::make_shared<routed_request>();
         request->id = "r" + std::to_string(++m_number);
@@ -84,19 +84,20 @@
         request->target = target;
         request->patience = duration::from_ms(patience_ms);
         m_router.arrive(m_number, request, now);
-        take();
+        process_actions();
         return m_number;
     }
 
-    /// @return how a request that another entry asks for by this list of shards ends if nothing is answered
-    routed_end ask_as_peer(const std::string& target, bool same_shards)
+    /// @return the end of a delegated request whose attempts get no answer
+    /// @param same_shards whether the delegating entry has the same list of shards
+    routed_end end_of_delegated_request(const std::string& target, bool same_shards)
     {
-        const request_number number = arrive_as_peer(target, same_shards);
-        pass(200);
+        const request_number number = submit_delegated(target, same_shards);
+        advance(200);
         return answers.at(number).end;
     }
 
-    request_number arrive_as_peer(const std::string& target, bool same_shards, bool again = false)
+    request_number submit_delegated(const std::string& target, bool same_shards, bool again = false)
     {
         auto request = std::make_shared<routed_request>();
         request->host = "h";
@@ -113,20 +114,20 @@
         request->is_repeated_delegation = again;
         const request_number number = ++m_number;
         m_router.arrive(number, request, now);
-        take();
+        process_actions();
         return number;
     }
 
-    void pass(double ms)
+    void advance(double ms)
     {
-        const time_point until = now + duration::from_ms(ms);
-        while (m_router.next_time() <= until)
+        const time_point stop_at = now + duration::from_ms(ms);
+        while (m_router.next_time() <= stop_at)
         {
             now = std::max(now, m_router.next_time());
             m_router.on_time(now);
-            take();
+            process_actions();
         }
-        now = until;
+        now = stop_at;
     }
 
     time_point next_time() const
@@ -137,23 +138,24 @@
     void answer_all()
     {
         m_router.answer_all();
-        take();
+        process_actions();
     }
 
-    void gone(request_number number)
+    void disconnect_caller(request_number number)
     {
         m_router.caller_gone(number, now);
-        take();
+        process_actions();
     }
 
     void no_longer_awaited(request_number number)
     {
         m_router.no_longer_awaited(number);
-        take();
+        process_actions();
     }
 
-    /// Ends the oldest attempt on @a service.
-    void end(const std::string& service, attempt_status status, int http_status = 200, bool hung_up = false)
+    /// Ends the oldest running attempt on @a service.
+    void end_attempt(const std::string& service, attempt_status status, int http_status = 200,
+                     bool hung_up = false)
     {
         const auto found = std::find_if(started.begin(), started.end(),
                                         [&](const start_routed_attempt& item)
@@ -164,8 +166,8 @@
         const start_routed_attempt ended = *found;
         started.erase(found);
         std::shared_ptr<backend_answer> answer;
-        const bool whole = status == attempt_status::answered || http_status >= 500;
-        if (whole)
+        const bool has_answer = status == attempt_status::answered || http_status >= 500;
+        if (has_answer)
         {
             answer = std::make_shared<backend_answer>();
             answer->status = http_status;
@@ -176,19 +178,19 @@
         result.status = status;
         result.hung_up = hung_up;
         m_router.attempt_ended(ended.attempt, result, answer, now);
-        take();
+        process_actions();
     }
 
-    /// The backend server of the oldest attempt on @a service crashes.
-    void crash(const std::string& service)
+    /// Lets the backend server of the oldest attempt on @a service crash.
+    void crash_server(const std::string& service)
     {
-        end(service, attempt_status::cut, 0, true);
+        end_attempt(service, attempt_status::cut, 0, true);
     }
 
-    void told(const std::vector<crash_record>& records)
+    void receive_crash_records(const std::vector<crash_record>& records)
     {
         m_router.on_crash_records(records, now);
-        take();
+        process_actions();
     }
 
     int running(const std::string& service) const
@@ -200,71 +202,74 @@
                                               }));
     }
 
-    /// @param told how many of the last parts were told before
-    void returned(const delegate_shards& asked, routed_end end, std::size_t missing = 0, std::size_t told = 0)
+    /// Delivers the final outcome of a delegation.
+    /// @param missing the number of missing parts, from the first one on
+    /// @param reported the number of parts, from the last one on, that an earlier partial outcome held
+    void receive_final_outcome(const delegate_shards& delegation, routed_end end, std::size_t missing = 0,
+                               std::size_t reported = 0)
     {
         routed_outcome outcome;
         outcome.end = end;
-        outcome.missing_shards.assign(asked.shards.begin(),
-                                      asked.shards.begin() + static_cast<std::ptrdiff_t>(missing));
-        for (std::size_t i = missing; i < asked.shards.size() - told; ++i)
+        outcome.missing_shards.assign(delegation.shards.begin(),
+                                      delegation.shards.begin() + static_cast<std::ptrdiff_t>(missing));
+        for (std::size_t i = missing; i < delegation.shards.size() - reported; ++i)
         {
-            outcome.signatures.push_back("by-s" + std::to_string(asked.shards[i]));
+            outcome.signatures.push_back("by-s" + std::to_string(delegation.shards[i]));
             outcome.merged += std::string(record_bytes, static_cast<char>('z' - i));
         }
-        m_router.on_delegation_outcome(asked.peer, asked.number, outcome, now);
-        take();
+        m_router.on_delegation_outcome(delegation.peer, delegation.number, outcome, now);
+        process_actions();
     }
 
-    void failed_by_crashes(const delegate_shards& asked, const crash_record& record)
+    void receive_failure_with_crash(const delegate_shards& delegation, const crash_record& record)
     {
         routed_outcome outcome;
         outcome.end = routed_end::failed;
         outcome.crashes = {record};
-        m_router.on_delegation_outcome(asked.peer, asked.number, outcome, now);
-        take();
+        m_router.on_delegation_outcome(delegation.peer, delegation.number, outcome, now);
+        process_actions();
     }
 
-    void told_progress(const delegate_shards& asked, std::size_t missing)
+    void receive_partial_outcome(const delegate_shards& delegation, std::size_t missing)
     {
         routed_outcome outcome;
         outcome.end = routed_end::merged;
         outcome.is_progress = true;
-        outcome.missing_shards.assign(asked.shards.begin(),
-                                      asked.shards.begin() + static_cast<std::ptrdiff_t>(missing));
-        for (std::size_t i = missing; i < asked.shards.size(); ++i)
+        outcome.missing_shards.assign(delegation.shards.begin(),
+                                      delegation.shards.begin() + static_cast<std::ptrdiff_t>(missing));
+        for (std::size_t i = missing; i < delegation.shards.size(); ++i)
         {
-            outcome.signatures.push_back("by-s" + std::to_string(asked.shards[i]));
+            outcome.signatures.push_back("by-s" + std::to_string(delegation.shards[i]));
         }
-        m_router.on_delegation_outcome(asked.peer, asked.number, outcome, now);
-        take();
+        m_router.on_delegation_outcome(delegation.peer, delegation.number, outcome, now);
+        process_actions();
     }
 
-    void lose(const instance_name& peer)
+    void disconnect_entry(const instance_name& peer)
     {
         m_router.on_entry_disconnected(peer, now);
-        take();
+        process_actions();
     }
 
     std::string region = "near";
     int near_services = 0;
-    /// What an entry that asks designates.
+    /// The backend servers that a delegating entry designates.
     std::vector<std::string> designated;
-    /// Where the last replica of each service stands, if elsewhere than the others.
+    /// The availability zone of each service's last replica, if different from the other replicas.
     std::string last_replica_zone;
     std::vector<entry_peer> peers;
     time_point now{duration::from_ms(1000)};
     std::vector<start_routed_attempt> started;
     std::vector<routed_attempt_number> cancelled;
-    std::vector<delegate_shards> sent_away;
+    std::vector<delegate_shards> delegations;
     std::vector<abandon_delegation> abandoned;
     std::map<request_number, routed_outcome> progress;
     std::map<request_number, routed_outcome> answers;
-    /// What was told to the control replicas.
+    /// The crash records that were sent to the control replicas.
     std::vector<crash_record> crashes;
 
   private:
-    void take()
+    void process_actions()
     {
         for (const router_action& action : m_router.take_actions())
         {
@@ -276,26 +281,26 @@
             {
                 cancelled.push_back(cancel->attempt);
             }
-            else if (const auto* ask = std::get_if<delegate_shards>(&action))
+            else if (const auto* delegated = std::get_if<delegate_shards>(&action))
             {
-                sent_away.push_back(*ask);
+                delegations.push_back(*delegated);
             }
             else if (const auto* abandon = std::get_if<abandon_delegation>(&action))
             {
                 abandoned.push_back(*abandon);
             }
-            else if (const auto* so_far = std::get_if<send_partial_outcome>(&action))
+            else if (const auto* partial = std::get_if<send_partial_outcome>(&action))
             {
-                progress[so_far->request] = so_far->outcome;
+                progress[partial->request] = partial->outcome;
             }
             else if (const auto* crashed = std::get_if<publish_crash_records>(&action))
             {
                 crashes.insert(crashes.end(), crashed->records.begin(), crashed->records.end());
             }
-            else if (const auto* final_one = std::get_if<answer_request>(&action))
+            else if (const auto* final_answer = std::get_if<answer_request>(&action))
             {
-                // Exactly one final answer.
-                REQUIRE(answers.emplace(final_one->request, final_one->outcome).second);
+                // Each request gets exactly one final answer.
+                REQUIRE(answers.emplace(final_answer->request, final_answer->outcome).second);
             }
         }
     }
--- a/tests/src/unit-allowed-regions.cpp
+++ b/tests/src/unit-allowed-regions.cpp
@@ -47,7 +47,7 @@
     return regions[region] + std::string("-") + std::to_string(zone);
 }
 
-/// Three teams, of which two are bound to regions.
+/// @return three teams, two of which are restricted to regions
 std::shared_ptr<const team_table> make_teams()
 {
     shared_map<team_name, team> teams;
@@ -62,12 +62,14 @@
     return std::make_shared<const team_table>(teams, "");
 }
 
-/// Several entries in three regions, whose messages arrive a moment later or never, and backend servers that
-/// answer, fail or fall silent. Notes whatever reaches a place where its route doesn't let it.
-class region_play
+/// Simulates entries in three regions with delayed and lost messages, and backend servers that answer, fail
+/// or don't answer. Routes, backend servers and reachable entries change at random, and some entries get a
+/// new configuration later than others. The simulation records each request that was run in, or delegated to,
+/// a region that its route or its team does not allow.
+class region_simulation
 {
   public:
-    explicit region_play(std::uint32_t seed) : m_draw(seed)
+    explicit region_simulation(std::uint32_t seed) : m_random(seed)
     {
         for (std::size_t region = 0; region < regions.size(); ++region)
         {
@@ -90,32 +92,32 @@
 
     void step()
     {
-        m_now = m_now + duration::from_ms(drawn(0, 12));
+        m_now = m_now + duration::from_ms(random_int(0, 12));
         for (auto& [name, item] : m_entries)
         {
-            item.decides.on_time(m_now);
-            take(name);
+            item.entry_router.on_time(m_now);
+            process_actions(name);
         }
         deliver();
-        switch (drawn(0, 14))
+        switch (random_int(0, 14))
         {
         case 0:
             change_routes();
             break;
         case 1:
-            lose_an_entry();
+            disconnect_an_entry();
             break;
         case 2:
-            move_a_server();
+            replace_a_server();
             break;
         default:
-            ask();
+            submit_a_request();
         }
     }
 
-    const std::vector<std::string>& left() const
+    const std::vector<std::string>& violations() const
     {
-        return m_left;
+        return m_violations;
     }
 
     int attempts() const
@@ -123,9 +125,9 @@
         return m_attempts;
     }
 
-    int asks() const
+    int delegation_count() const
     {
-        return m_asks;
+        return m_delegation_count;
     }
 
     int refused() const
@@ -137,19 +139,19 @@
     struct entry
     {
         entry_peer where;
-        router decides{router_options{}};
+        router entry_router{router_options{}};
     };
 
-    /// Something on its way; done when it is due.
+    /// A message in transit, delivered when it is due.
     struct delivery
     {
         time_point due;
         std::function<void()> arrive;
     };
 
-    int drawn(int low, int high)
+    int random_int(int low, int high)
     {
-        return std::uniform_int_distribution<int>(low, high)(m_draw);
+        return std::uniform_int_distribution<int>(low, high)(m_random);
     }
 
     void add_entry(std::size_t region, int zone, int at)
@@ -169,7 +171,7 @@
             backend_server server;
             server.name = backend_server_name(item.definition.name.str() + "-" + std::to_string(region));
             server.availability_zone = zone_name(region, at % zones_per_region);
-            // Few, so that shards have owners.
+            // Few connections, so that shards have owners.
             server.connection_limit = 8;
             item.shards[0].push_back(server);
             m_zone_of[server.name] = server.availability_zone;
@@ -177,14 +179,14 @@
         m_placed.services.emplace(item.definition.name, item);
     }
 
-    /// Another backend server of the same service stands in another region, or none does.
-    void move_a_server()
+    /// Removes a backend server, or replaces it by one in another availability zone.
+    void replace_a_server()
     {
-        const service_name service("s" + std::to_string(drawn(0, services - 1)));
+        const service_name service("s" + std::to_string(random_int(0, services - 1)));
         placed_service item = *m_placed.services.at(service);
         auto& replicas = item.shards[0];
-        const auto at = static_cast<std::size_t>(drawn(0, static_cast<int>(replicas.size()) - 1));
-        if (replicas.size() > 1 && drawn(0, 1) == 0)
+        const auto at = static_cast<std::size_t>(random_int(0, static_cast<int>(replicas.size()) - 1));
+        if (replicas.size() > 1 && random_int(0, 1) == 0)
         {
             replicas.erase(replicas.begin() + static_cast<std::ptrdiff_t>(at));
         }
@@ -192,7 +194,8 @@
         {
             replicas[at].name =
                 backend_server_name(service.str() + "-n" + std::to_string(1000 + m_next_server++));
-            replicas[at].availability_zone = zone_name(static_cast<std::size_t>(drawn(0, 2)), drawn(0, 1));
+            replicas[at].availability_zone =
+                zone_name(static_cast<std::size_t>(random_int(0, 2)), random_int(0, 1));
             m_zone_of[replicas[at].name] = replicas[at].availability_zone;
             std::sort(replicas.begin(), replicas.end(),
                       [](const backend_server& a, const backend_server& b)
@@ -201,20 +204,20 @@
                       });
         }
         m_placed.services.insert_or_assign(service, item);
-        configure(drawn(0, 1) == 0);
+        configure(random_int(0, 1) == 0);
     }
 
-    region_set drawn_regions()
+    region_set random_regions()
     {
         std::set<std::string> names;
         for (const char* region : regions)
         {
-            if (drawn(0, 2) == 0)
+            if (random_int(0, 2) == 0)
             {
                 names.insert(region);
             }
         }
-        if (names.empty() && drawn(0, 1) == 0)
+        if (names.empty() && random_int(0, 1) == 0)
         {
             return region_set();
         }
@@ -235,7 +238,7 @@
         all.timeout = duration::from_ms(400);
         all.objective = duration::from_ms(80);
         all.least_share = 0.0;
-        all.allowed_regions = drawn_regions();
+        all.allowed_regions = random_regions();
         for (int at = 0; at < services; ++at)
         {
             all.fan_out.emplace_back("s" + std::to_string(at));
@@ -246,11 +249,11 @@
         one.host = host;
         one.path_prefix = "/one/";
         one.timeout = duration::from_ms(400);
-        one.allowed_regions = drawn_regions();
+        one.allowed_regions = random_regions();
         one.targets = {{service_name("s0"), 1}};
         m_routes.emplace(one.name, one);
         ++m_placed.revision;
-        // Some entries learn of it later.
+        // Some entries get the new routes later.
         configure(true);
     }
 
@@ -258,7 +261,7 @@
     {
         for (auto& [name, item] : m_entries)
         {
-            if (some_only && drawn(0, 2) == 0)
+            if (some_only && random_int(0, 2) == 0)
             {
                 continue;
             }
@@ -281,17 +284,17 @@
             }
             view.peers = peers;
             view.unreachable = m_unreachable;
-            item.decides.configure(view, m_now);
+            item.entry_router.configure(view, m_now);
             m_routes_of[name] = m_routes;
-            take(name);
+            process_actions(name);
         }
     }
 
-    void lose_an_entry()
+    void disconnect_an_entry()
     {
-        const auto lost = std::next(m_entries.begin(), drawn(0, static_cast<int>(m_entries.size()) - 1));
+        const auto lost = std::next(m_entries.begin(), random_int(0, static_cast<int>(m_entries.size()) - 1));
         m_unreachable.clear();
-        if (drawn(0, 3) > 0)
+        if (random_int(0, 3) > 0)
         {
             m_unreachable.insert(lost->first);
         }
@@ -299,39 +302,39 @@
         {
             if (name != lost->first)
             {
-                item.decides.on_entry_disconnected(lost->first, m_now);
-                take(name);
+                item.entry_router.on_entry_disconnected(lost->first, m_now);
+                process_actions(name);
             }
         }
         configure(true);
     }
 
-    void ask()
+    void submit_a_request()
     {
-        const auto at = std::next(m_entries.begin(), drawn(0, static_cast<int>(m_entries.size()) - 1));
+        const auto at = std::next(m_entries.begin(), random_int(0, static_cast<int>(m_entries.size()) - 1));
         auto request = std::make_shared<routed_request>();
         request->id = "r" + std::to_string(m_next_request);
         request->host = host;
-        request->target = drawn(0, 3) == 0 ? "/one/" : "/all/";
+        request->target = random_int(0, 3) == 0 ? "/one/" : "/all/";
         request->patience = duration::from_ms(300);
         const std::string route = request->target == "/one/" ? "one" : "all";
-        const auto sender = std::next(m_teams->teams().begin(), drawn(0, 2));
+        const auto sender = std::next(m_teams->teams().begin(), random_int(0, 2));
         request->team = sender->first;
-        // What the entry that has the caller goes by is what counts.
+        // The routes known to the entry that received the request apply.
         m_allowed[request->id] =
             m_routes_of.at(at->first).at(route).allowed_regions.both(sender->second.allowed_regions);
-        at->second.decides.arrive(m_next_request++, request, m_now);
-        take(at->first);
+        at->second.entry_router.arrive(m_next_request++, request, m_now);
+        process_actions(at->first);
     }
 
-    void send(duration way, std::function<void()> arrive)
+    void send(duration latency, std::function<void()> arrive)
     {
-        m_on_their_way.push_back({m_now + way, std::move(arrive)});
+        m_in_transit.push_back({m_now + latency, std::move(arrive)});
     }
 
     void deliver()
     {
-        std::vector<delivery> waiting = std::exchange(m_on_their_way, {});
+        std::vector<delivery> waiting = std::exchange(m_in_transit, {});
         for (delivery& item : waiting)
         {
             if (item.due <= m_now)
@@ -340,148 +343,150 @@
             }
             else
             {
-                m_on_their_way.push_back(std::move(item));
+                m_in_transit.push_back(std::move(item));
             }
         }
     }
 
-    void check(const std::string& request, const std::string& region, const std::string& what)
+    void check(const std::string& request, const std::string& region, const std::string& event)
     {
         const auto allowed = m_allowed.find(request);
         if (allowed != m_allowed.end() && !allowed->second.allows(region))
         {
-            m_left.push_back(request + " " + what + " in " + region);
+            m_violations.push_back(request + " " + event + " in " + region);
         }
     }
 
-    void take(const instance_name& at)
+    void process_actions(const instance_name& at)
     {
-        router& decides = m_entries.at(at).decides;
-        for (auto todo = decides.take_actions(); !todo.empty(); todo = decides.take_actions())
+        router& entry_router = m_entries.at(at).entry_router;
+        for (auto todo = entry_router.take_actions(); !todo.empty(); todo = entry_router.take_actions())
         {
             for (const router_action& action : todo)
             {
                 std::visit(
                     [&](const auto& item)
                     {
-                        carry(at, item);
+                        execute(at, item);
                     },
                     action);
             }
         }
     }
 
-    void carry(const instance_name& at, const start_routed_attempt& action)
+    void execute(const instance_name& at, const start_routed_attempt& action)
     {
         ++m_attempts;
         check(action.sent->id, m_region_of_zone.at(m_zone_of.at(action.server)), "was run");
-        const int luck = drawn(0, 9);
-        if (luck == 0)
+        const int outcome_draw = random_int(0, 9);
+        if (outcome_draw == 0)
         {
-            // Silent for good.
+            // The backend server never answers.
             return;
         }
         attempt_result result;
-        result.status = luck == 1   ? attempt_status::cut
-                        : luck == 2 ? attempt_status::shed
-                        : luck == 3 ? attempt_status::unreachable
-                                    : attempt_status::answered;
-        result.hung_up = luck == 1;
+        result.status = outcome_draw == 1   ? attempt_status::cut
+                        : outcome_draw == 2 ? attempt_status::shed
+                        : outcome_draw == 3 ? attempt_status::unreachable
+                                            : attempt_status::answered;
+        result.hung_up = outcome_draw == 1;
         auto answer = std::make_shared<backend_answer>();
         answer->status = 200;
         answer->signature = action.server.str();
-        send(duration::from_ms(drawn(2, 60)),
+        send(duration::from_ms(random_int(2, 60)),
              [this, at, number = action.attempt, result, answer]
              {
                  const bool answered = result.status == attempt_status::answered;
-                 m_entries.at(at).decides.attempt_ended(number, result, answered ? answer : nullptr, m_now);
-                 take(at);
+                 m_entries.at(at).entry_router.attempt_ended(number, result, answered ? answer : nullptr,
+                                                             m_now);
+                 process_actions(at);
              });
     }
 
-    void carry(const instance_name& at, const publish_crash_records& action)
+    void execute(const instance_name& at, const publish_crash_records& action)
     {
         for (const auto& item : m_entries)
         {
             if (item.first != at)
             {
-                send(duration::from_ms(drawn(1, 20)),
+                send(duration::from_ms(random_int(1, 20)),
                      [this, to = item.first, records = action.records]
                      {
-                         m_entries.at(to).decides.on_crash_records(records, m_now);
-                         take(to);
+                         m_entries.at(to).entry_router.on_crash_records(records, m_now);
+                         process_actions(to);
                      });
             }
         }
     }
 
-    void carry(const instance_name&, const report_quarantine_state&)
+    void execute(const instance_name&, const report_quarantine_state&)
     {
     }
 
-    void carry(const instance_name& at, const delegate_shards& action)
+    void execute(const instance_name& at, const delegate_shards& action)
     {
-        ++m_asks;
+        ++m_delegation_count;
         const entry_peer& peer = m_entries.at(action.peer).where;
         check(action.sent->id, peer.region, "was passed on");
         if (m_unreachable.count(action.peer) > 0)
         {
             return;
         }
-        auto asked = std::make_shared<routed_request>(*action.sent);
-        asked->patience = action.patience;
-        asked->delegated_list = action.list;
-        asked->delegated_shards = action.shards;
-        asked->designated = action.designated;
-        asked->answer_within = action.answer_within;
-        asked->progress_within = action.progress_within;
-        asked->is_repeated_delegation = action.again;
-        asked->delegated_regions = action.regions;
-        send(duration::from_ms(drawn(1, 20)),
-             [this, at, to = action.peer, number = action.number, asked]
+        auto delegated = std::make_shared<routed_request>(*action.sent);
+        delegated->patience = action.patience;
+        delegated->delegated_list = action.list;
+        delegated->delegated_shards = action.shards;
+        delegated->designated = action.designated;
+        delegated->answer_within = action.answer_within;
+        delegated->progress_within = action.progress_within;
+        delegated->is_repeated_delegation = action.again;
+        delegated->delegated_regions = action.regions;
+        send(duration::from_ms(random_int(1, 20)),
+             [this, at, to = action.peer, number = action.number, delegated]
              {
                  const request_number own = m_next_request++;
-                 m_asked[{to, own}] = {at, number};
-                 m_entries.at(to).decides.arrive(own, asked, m_now);
-                 take(to);
+                 m_delegations_by_request[{to, own}] = {at, number};
+                 m_entries.at(to).entry_router.arrive(own, delegated, m_now);
+                 process_actions(to);
              });
     }
 
     void reply(const instance_name& at, request_number request, const routed_outcome& outcome)
     {
-        const auto asker = m_asked.find({at, request});
-        if (asker == m_asked.end())
+        const auto delegating_entry = m_delegations_by_request.find({at, request});
+        if (delegating_entry == m_delegations_by_request.end())
         {
             m_refused += outcome.end == routed_end::refused ? 1 : 0;
             return;
         }
-        send(duration::from_ms(drawn(1, 20)),
-             [this, at, back = asker->second, outcome]
+        send(duration::from_ms(random_int(1, 20)),
+             [this, at, origin = delegating_entry->second, outcome]
              {
-                 m_entries.at(back.first).decides.on_delegation_outcome(at, back.second, outcome, m_now);
-                 take(back.first);
+                 m_entries.at(origin.first)
+                     .entry_router.on_delegation_outcome(at, origin.second, outcome, m_now);
+                 process_actions(origin.first);
              });
     }
 
-    void carry(const instance_name& at, const answer_request& action)
+    void execute(const instance_name& at, const answer_request& action)
     {
         reply(at, action.request, action.outcome);
     }
 
-    void carry(const instance_name& at, const send_partial_outcome& action)
+    void execute(const instance_name& at, const send_partial_outcome& action)
     {
         reply(at, action.request, action.outcome);
     }
 
-    void carry(const instance_name&, const cancel_routed_attempt&)
+    void execute(const instance_name&, const cancel_routed_attempt&)
     {
     }
 
-    void carry(const instance_name&, const abandon_delegation&)
+    void execute(const instance_name&, const abandon_delegation&)
     {
     }
 
-    std::mt19937 m_draw;
+    std::mt19937 m_random;
     time_point m_now{};
     std::map<instance_name, entry> m_entries;
     std::map<instance_name, std::map<std::string, route>> m_routes_of;
@@ -491,20 +496,21 @@
     const std::shared_ptr<const team_table> m_teams = make_teams();
     placement m_placed;
     std::set<instance_name> m_unreachable;
-    std::vector<delivery> m_on_their_way;
-    std::map<std::pair<instance_name, request_number>, std::pair<instance_name, delegation_number>> m_asked;
+    std::vector<delivery> m_in_transit;
+    std::map<std::pair<instance_name, request_number>, std::pair<instance_name, delegation_number>>
+        m_delegations_by_request;
     std::map<std::string, region_set> m_allowed;
     request_number m_next_request = 1;
     int m_next_server = 0;
-    std::vector<std::string> m_left;
+    std::vector<std::string> m_violations;
     int m_attempts = 0;
-    int m_asks = 0;
+    int m_delegation_count = 0;
     int m_refused = 0;
 };
 
 } // namespace
 
-TEST_CASE("a set of regions", "[regions]")
+TEST_CASE("a set of regions holds all, some or no regions", "[regions]")
 {
     const region_set any;
     const region_set none = only({});
@@ -515,7 +521,7 @@
     CHECK_FALSE(none.allows("east"));
     CHECK_FALSE(only({"east"}).allows(""));
 
-    SECTION("where two bind, both do")
+    SECTION("the intersection of two sets allows event both allow")
     {
         CHECK(any.both(any).is_any());
         CHECK(any.both(only({"east"})) == only({"east"}));
@@ -523,7 +529,7 @@
         CHECK(only({"east", "west"}).both(only({"west", "north"})) == only({"west"}));
         CHECK(only({"east"}).both(only({"west"})).is_none());
     }
-    SECTION("it comes back from JSON as it was")
+    SECTION("a set is equal after conversion to JSON and back")
     {
         for (const region_set& value : {any, none, only({"east", "west"})})
         {
@@ -532,18 +538,18 @@
     }
 }
 
-TEST_CASE("a route may be bound to regions", "[regions]")
+TEST_CASE("a route may be restricted to regions", "[regions]")
 {
     findings found;
     nlohmann::json document = route_document();
 
-    SECTION("it isn't unless it says so, and says nothing then")
+    SECTION("a route without allowed_regions allows all regions, and its JSON has no such key")
     {
         const route read = read_route(document, found);
         CHECK(read.allowed_regions.is_any());
         CHECK_FALSE(nlohmann::json(read).contains("allowed_regions"));
     }
-    SECTION("its regions come back")
+    SECTION("allowed regions are equal after conversion to JSON and back")
     {
         document["allowed_regions"] = {"west", "east"};
         const route read = read_route(document, found);
@@ -551,14 +557,14 @@
         CHECK(read_route(nlohmann::json(read), found) == read);
         CHECK_FALSE(found.has_errors());
     }
-    SECTION("no region at all is a finding, with its place")
+    SECTION("an empty list of regions is an error with its JSON path")
     {
         document["allowed_regions"] = nlohmann::json::array();
         read_route(document, found);
         REQUIRE(found.has_errors());
         CHECK(found.to_text().find("/allowed_regions") != std::string::npos);
     }
-    SECTION("so is anything but names")
+    SECTION("a list with a value that isn't a name is an error")
     {
         document["allowed_regions"] = {"west", 3};
         read_route(document, found);
@@ -566,20 +572,21 @@
     }
 }
 
-TEST_CASE("no request leaves the regions that its route and its team allow, whatever is lost", "[regions]")
+TEST_CASE("no request leaves the regions that its route and its team allow, even with lost messages",
+          "[regions]")
 {
     for (std::uint32_t seed = 1; seed <= 12; ++seed)
     {
-        region_play play(seed);
+        region_simulation simulation(seed);
         for (int i = 0; i < 600; ++i)
         {
-            play.step();
+            simulation.step();
         }
         INFO("seed " << seed);
-        CHECK(play.left() == std::vector<std::string>());
-        CHECK(play.attempts() > 200);
-        CHECK(play.asks() > 20);
-        // Routes that allow no region that anyone knows.
-        CHECK(play.refused() > 5);
+        CHECK(simulation.violations() == std::vector<std::string>());
+        CHECK(simulation.attempts() > 200);
+        CHECK(simulation.delegation_count() > 20);
+        // Some routes allow only a region that does not exist, so their requests are refused.
+        CHECK(simulation.refused() > 5);
     }
 }
--- a/tests/src/unit-quarantine.cpp
+++ b/tests/src/unit-quarantine.cpp
@@ -199,8 +199,8 @@
 TEST_CASE("a request that crashes backend servers is held back, tried and quarantined", "[quarantine]")
 {
     router_driver driver;
-    driver.serve({{"all", fan_out_over(6, 0.5)}, {"one", single(true)}}, 6);
-    const request_number first = driver.ask("/all/x");
+    driver.configure({{"all", fan_out_over(6, 0.5)}, {"one", single(true)}}, 6);
+    const request_number first = driver.submit("/all/x");
     const request_fingerprint fingerprint = fingerprint_of_target("/all/x");
     REQUIRE(driver.started.size() == 6);
 
@@ -208,12 +208,12 @@
     {
         for (const char* service : {"s0", "s1", "s2", "s3"})
         {
-            driver.crash(service);
+            driver.crash_server(service);
         }
         // The first two were sent again before there were enough.
         CHECK(driver.started.size() == 4);
         const auto before = driver.started;
-        driver.pass(90);
+        driver.advance(90);
         CHECK(driver.started.size() == before.size());
         CHECK(driver.answers.empty());
     }
@@ -221,14 +221,14 @@
     {
         for (const char* service : {"s0", "s1", "s2", "s3"})
         {
-            driver.crash(service);
+            driver.crash_server(service);
         }
-        driver.end("s4", attempt_status::answered);
+        driver.end_attempt("s4", attempt_status::answered);
         CHECK(driver.running("s2") == 1);
         CHECK(driver.running("s3") == 1);
         for (const char* service : {"s0", "s1", "s2", "s3", "s5"})
         {
-            driver.end(service, attempt_status::answered);
+            driver.end_attempt(service, attempt_status::answered);
         }
         CHECK(driver.answers.at(first).end == routed_end::merged);
         CHECK(driver.answers.at(first).missing == 0);
@@ -238,59 +238,59 @@
     {
         for (const char* service : {"s0", "s1", "s2", "s3", "s4", "s5", "s0", "s1"})
         {
-            driver.crash(service);
+            driver.crash_server(service);
         }
         CHECK(driver.started.empty());
-        driver.pass(99);
+        driver.advance(99);
         CHECK(driver.started.empty());
-        driver.pass(2);
+        driver.advance(2);
         REQUIRE(driver.started.size() == 1);
         CHECK(driver.started[0].on_trial);
-        driver.crash(driver.started[0].service.str());
+        driver.crash_server(driver.started[0].service.str());
         CHECK(driver.started.empty());
         CHECK(driver.answers.at(first).end == routed_end::failed);
         CHECK(driver.answers.at(first).reason == missing_reason::quarantined);
 
-        const request_number copy = driver.ask("/all/x");
+        const request_number copy = driver.submit("/all/x");
         CHECK(driver.started.empty());
         CHECK(driver.answers.at(copy).end == routed_end::refused);
         CHECK(driver.answers.at(copy).reason == missing_reason::quarantined);
         CHECK(driver.answers.at(copy).retry_after > duration::from_ms(1000));
         // Others aren't touched by it.
-        driver.ask("/one/x");
+        driver.submit("/one/x");
         CHECK(driver.started.size() == 1);
     }
     SECTION("a trial that is answered lets all of it through")
     {
         for (const char* service : {"s0", "s1", "s2", "s3", "s4", "s5", "s0", "s1"})
         {
-            driver.crash(service);
+            driver.crash_server(service);
         }
-        driver.pass(101);
+        driver.advance(101);
         REQUIRE(driver.started.size() == 1);
-        driver.end(driver.started[0].service.str(), attempt_status::answered);
+        driver.end_attempt(driver.started[0].service.str(), attempt_status::answered);
         CHECK(driver.started.size() == 3);
     }
     SECTION("a trial that wasn't run proves nothing and is followed by another, a moment later")
     {
         for (const char* service : {"s0", "s1", "s2", "s3", "s4", "s5", "s0", "s1"})
         {
-            driver.crash(service);
+            driver.crash_server(service);
         }
-        driver.pass(101);
+        driver.advance(101);
         REQUIRE(driver.started.size() == 1);
-        driver.end(driver.started[0].service.str(), attempt_status::unreachable);
+        driver.end_attempt(driver.started[0].service.str(), attempt_status::unreachable);
         CHECK(driver.started.empty());
-        driver.pass(101);
+        driver.advance(101);
         CHECK(driver.started.size() == 1);
         CHECK(driver.answers.empty());
     }
     SECTION("crashes while other parts of it are in are none of its doing")
     {
-        driver.end("s5", attempt_status::answered);
+        driver.end_attempt("s5", attempt_status::answered);
         for (const char* service : {"s0", "s1", "s2", "s3"})
         {
-            driver.crash(service);
+            driver.crash_server(service);
             CHECK(driver.running(service) == 1);
         }
         CHECK(driver.crashes.empty());
@@ -299,19 +299,20 @@
     {
         for (const char* service : {"s0", "s1", "s2", "s3"})
         {
-            driver.end(service, attempt_status::cut);
+            driver.end_attempt(service, attempt_status::cut);
         }
         CHECK(driver.crashes.empty());
         CHECK(driver.started.size() == 6);
     }
     SECTION("the word of another process ends what isn't under way, and lets the rest end")
     {
-        const request_number other = driver.ask("/all/y");
-        driver.told({quarantined_record(fingerprint), suspect_record(fingerprint_of_target("/all/y"))});
+        const request_number other = driver.submit("/all/y");
+        driver.receive_crash_records(
+            {quarantined_record(fingerprint), suspect_record(fingerprint_of_target("/all/y"))});
         CHECK(driver.answers.empty());
         for (const char* service : {"s0", "s1", "s2", "s3", "s4", "s5"})
         {
-            driver.crash(service);
+            driver.crash_server(service);
         }
         CHECK(driver.answers.at(first).end == routed_end::failed);
         CHECK(driver.answers.count(other) == 0);
@@ -323,49 +324,49 @@
 TEST_CASE("a request that is suspect when it comes is tried before it is run", "[quarantine]")
 {
     router_driver driver;
-    driver.serve({{"all", fan_out_over(4, 1.0)}, {"one", single(true)}}, 4);
-    driver.told(
+    driver.configure({{"all", fan_out_over(4, 1.0)}, {"one", single(true)}}, 4);
+    driver.receive_crash_records(
         {suspect_record(fingerprint_of_target("/all/x")), suspect_record(fingerprint_of_target("/all/y"))});
-    const request_number first = driver.ask("/all/x");
-    const request_number second = driver.ask("/all/y");
+    const request_number first = driver.submit("/all/x");
+    const request_number second = driver.submit("/all/y");
     REQUIRE(driver.started.size() == 1);
     CHECK(driver.started[0].request == first);
 
     SECTION("one of them at a time")
     {
-        driver.crash("s0");
+        driver.crash_server("s0");
         CHECK(driver.answers.at(first).end == routed_end::failed);
         CHECK(driver.started.empty());
-        driver.pass(101);
+        driver.advance(101);
         REQUIRE(driver.started.size() == 1);
         CHECK(driver.started[0].request == second);
-        driver.end("s0", attempt_status::answered);
+        driver.end_attempt("s0", attempt_status::answered);
         for (const char* service : {"s1", "s2", "s3"})
         {
-            driver.end(service, attempt_status::answered);
+            driver.end_attempt(service, attempt_status::answered);
         }
         CHECK(driver.answers.at(second).end == routed_end::merged);
         CHECK(driver.answers.at(second).missing == 0);
     }
     SECTION("a caller that goes away takes the trial with it")
     {
-        driver.gone(first);
-        driver.pass(201);
+        driver.disconnect_caller(first);
+        driver.advance(201);
         REQUIRE(driver.started.size() == 2);
         CHECK(driver.started[1].request == second);
     }
     SECTION("also where its services are withdrawn meanwhile")
     {
-        driver.serve({{"one", single(true)}}, 1);
-        driver.crash("s0");
-        driver.gone(second);
-        driver.pass(501);
+        driver.configure({{"one", single(true)}}, 1);
+        driver.crash_server("s0");
+        driver.disconnect_caller(second);
+        driver.advance(501);
         CHECK(driver.answers.count(first) == 1);
         CHECK(driver.started.empty());
     }
     SECTION("what was never tried is refused as not run when its time is up")
     {
-        driver.pass(501);
+        driver.advance(501);
         CHECK(driver.answers.at(first).end == routed_end::late);
         CHECK(driver.answers.at(second).end == routed_end::refused);
     }
@@ -374,13 +375,13 @@
 TEST_CASE("an entry that runs shards for another one tells it of the crashes", "[quarantine]")
 {
     router_driver driver;
-    driver.serve({{"all", fan_out_over(4, 0.5)}}, 4);
+    driver.configure({{"all", fan_out_over(4, 0.5)}}, 4);
     const request_fingerprint fingerprint = fingerprint_of_target("/all/x");
 
     SECTION("as it refuses what is quarantined")
     {
-        driver.told({quarantined_record(fingerprint)});
-        const request_number number = driver.arrive_as_peer("/all/x", true);
+        driver.receive_crash_records({quarantined_record(fingerprint)});
+        const request_number number = driver.submit_delegated("/all/x", true);
         CHECK(driver.started.empty());
         CHECK(driver.answers.at(number).end == routed_end::refused);
         REQUIRE(driver.answers.at(number).crashes.size() == 1);
@@ -388,12 +389,12 @@
     }
     SECTION("and as what it ran fails")
     {
-        const request_number number = driver.arrive_as_peer("/all/x", true);
+        const request_number number = driver.submit_delegated("/all/x", true);
         for (const char* service : {"s1", "s2", "s1", "s2"})
         {
-            driver.crash(service);
+            driver.crash_server(service);
         }
-        driver.pass(200);
+        driver.advance(200);
         REQUIRE(driver.answers.at(number).crashes.size() == 1);
         CHECK(driver.answers.at(number).crashes[0].crashes.size() == 4);
     }
@@ -405,26 +406,27 @@
     driver.near_services = 2;
     driver.peers = {{instance_name("far-1"), "far", "far-zone", "a:1"},
                     {instance_name("far-2"), "far", "far-zone", "a:2"}};
-    driver.serve({{"all", fan_out_over(6, 0.9)}}, 6);
-    driver.ask("/all/x");
-    REQUIRE(driver.sent_away.size() == 1);
+    driver.configure({{"all", fan_out_over(6, 0.9)}}, 6);
+    driver.submit("/all/x");
+    REQUIRE(driver.delegations.size() == 1);
 
     SECTION("whose crashes it is told of with the answer")
     {
-        driver.failed_by_crashes(driver.sent_away[0], quarantined_record(fingerprint_of_target("/all/x")));
-        CHECK(driver.sent_away.size() == 1);
+        driver.receive_failure_with_crash(driver.delegations[0],
+                                          quarantined_record(fingerprint_of_target("/all/x")));
+        CHECK(driver.delegations.size() == 1);
     }
     SECTION("whose crashes another process told")
     {
-        driver.told({suspect_record(fingerprint_of_target("/all/x"))});
-        driver.lose(driver.sent_away[0].peer);
-        driver.pass(90);
-        CHECK(driver.sent_away.size() == 1);
+        driver.receive_crash_records({suspect_record(fingerprint_of_target("/all/x"))});
+        driver.disconnect_entry(driver.delegations[0].peer);
+        driver.advance(90);
+        CHECK(driver.delegations.size() == 1);
     }
     SECTION("while without crashes it is")
     {
-        driver.lose(driver.sent_away[0].peer);
-        CHECK(driver.sent_away.size() + driver.started.size() > 3);
+        driver.disconnect_entry(driver.delegations[0].peer);
+        CHECK(driver.delegations.size() + driver.started.size() > 3);
     }
 }
 
--- a/tests/src/unit-router.cpp
+++ b/tests/src/unit-router.cpp
@@ -3,69 +3,69 @@
 using namespace flaxtiller;
 using namespace flaxtiller::test;
 
-TEST_CASE("a fan-out: coverage against the latency objective", "[router]")
+TEST_CASE("a fan-out is answered by its coverage and the latency objective", "[router]")
 {
     router_driver driver;
-    driver.serve({{"all", fan_out_over(4, 0.75)}}, 4);
-    const request_number asked = driver.ask("/all/x");
+    driver.configure({{"all", fan_out_over(4, 0.75)}}, 4);
+    const request_number asked = driver.submit("/all/x");
     REQUIRE(driver.started.size() == 4);
 
-    SECTION("whole once all parts are in")
+    SECTION("complete as soon as all parts have succeeded")
     {
         for (const char* service : {"s0", "s1", "s2", "s3"})
         {
             CHECK(driver.answers.empty());
-            driver.end(service, attempt_status::answered);
+            driver.end_attempt(service, attempt_status::answered);
         }
-        const routed_outcome& told = driver.answers.at(asked);
-        CHECK(told.end == routed_end::merged);
-        CHECK(told.missing == 0);
-        CHECK(told.signatures.size() == 4);
-        CHECK(told.merged == std::string(record_bytes, '3') + std::string(record_bytes, '2'));
-    }
-    SECTION("at the objective with what is in, truthfully marked")
-    {
-        driver.end("s0", attempt_status::answered);
-        driver.end("s1", attempt_status::answered);
-        driver.end("s2", attempt_status::answered);
-        driver.pass(70);
+        const routed_outcome& result = driver.answers.at(asked);
+        CHECK(result.end == routed_end::merged);
+        CHECK(result.missing == 0);
+        CHECK(result.signatures.size() == 4);
+        CHECK(result.merged == std::string(record_bytes, '3') + std::string(record_bytes, '2'));
+    }
+    SECTION("at the objective with the parts that have succeeded, reporting the missing ones")
+    {
+        driver.end_attempt("s0", attempt_status::answered);
+        driver.end_attempt("s1", attempt_status::answered);
+        driver.end_attempt("s2", attempt_status::answered);
+        driver.advance(70);
         CHECK(driver.answers.empty());
-        driver.pass(20);
-        const routed_outcome& told = driver.answers.at(asked);
-        CHECK(told.end == routed_end::merged);
-        CHECK(told.missing == 1);
-        CHECK(told.signatures.size() == 3);
+        driver.advance(20);
+        const routed_outcome& result = driver.answers.at(asked);
+        CHECK(result.end == routed_end::merged);
+        CHECK(result.missing == 1);
+        CHECK(result.signatures.size() == 3);
     }
-    SECTION("past the objective as soon as the least share is in")
+    SECTION("after the objective as soon as the least share has succeeded")
     {
-        driver.end("s0", attempt_status::answered);
-        driver.end("s1", attempt_status::answered);
-        driver.pass(200);
+        driver.end_attempt("s0", attempt_status::answered);
+        driver.end_attempt("s1", attempt_status::answered);
+        driver.advance(200);
         CHECK(driver.answers.empty());
-        driver.end("s3", attempt_status::answered);
+        driver.end_attempt("s3", attempt_status::answered);
         CHECK(driver.answers.at(asked).missing == 1);
     }
-    SECTION("too little in at the time-out: late, and it may have run")
+    SECTION("as late, since it may have run, if too few parts have succeeded at the time-out")
     {
-        driver.end("s0", attempt_status::answered);
-        driver.pass(501);
+        driver.end_attempt("s0", attempt_status::answered);
+        driver.advance(501);
         CHECK(driver.answers.at(asked).end == routed_end::late);
     }
-    SECTION("a caller that went away gets nothing, and its attempts are stopped")
+    SECTION("not at all if the caller disconnects, and its attempts are cancelled")
     {
-        driver.end("s0", attempt_status::answered);
-        driver.gone(asked);
+        driver.end_attempt("s0", attempt_status::answered);
+        driver.disconnect_caller(asked);
         CHECK(driver.cancelled.size() == 3);
-        driver.pass(600);
+        driver.advance(600);
         CHECK(driver.answers.empty());
     }
-    SECTION("another shard map while it runs doesn't mix with its own")
+    SECTION("by its own shard map if a new shard map is configured meanwhile")
     {
-        driver.end("s0", attempt_status::answered);
-        driver.serve({{"all", fan_out_over(2, 0.75)}}, 2);
-        driver.end("s1", attempt_status::answered);
-        driver.end("s2", attempt_status::answered);
-        driver.end("s3", attempt_status::answered);
+        driver.end_attempt("s0", attempt_status::answered);
+        driver.configure({{"all", fan_out_over(2, 0.75)}}, 2);
+        driver.end_attempt("s1", attempt_status::answered);
+        driver.end_attempt("s2", attempt_status::answered);
+        driver.end_attempt("s3", attempt_status::answered);
         CHECK(driver.answers.at(asked).signatures.size() == 4);
     }
 }
@@ -73,10 +73,10 @@
 TEST_CASE("a fan-out that can't reach its least share fails at once", "[router]")
 {
     router_driver driver;
-    driver.serve({{"all", fan_out_over(4, 0.75)}}, 4, 0);
-    SECTION("no backend server at all: refused, since nothing was run")
+    driver.configure({{"all", fan_out_over(4, 0.75)}}, 4, 0);
+    SECTION("it is refused, as nothing was run, if there is no backend server at all")
     {
-        const request_number asked = driver.ask("/all/x");
+        const request_number asked = driver.submit("/all/x");
         CHECK(driver.answers.at(asked).end == routed_end::refused);
         CHECK(driver.answers.at(asked).retry_after > duration{});
     }
@@ -85,18 +85,18 @@
 TEST_CASE("a fan-out of which too many shards have no backend server is refused at once", "[router]")
 {
     router_driver driver;
-    driver.serve({{"all", fan_out_over(4, 0.75)}}, 3);
+    driver.configure({{"all", fan_out_over(4, 0.75)}}, 3);
 
-    SECTION("one missing shard is within what the route may miss")
+    SECTION("it is run if one shard is missing, which the least share allows")
     {
-        driver.ask("/all/x");
+        driver.submit("/all/x");
         CHECK(driver.started.size() == 3);
         CHECK(driver.answers.empty());
     }
-    SECTION("two are not: nothing is run, and the caller is told when to come back")
+    SECTION("it is refused with a retry delay if two shards are missing")
     {
-        driver.serve({{"all", fan_out_over(4, 0.75)}}, 2);
-        const request_number number = driver.ask("/all/x");
+        driver.configure({{"all", fan_out_over(4, 0.75)}}, 2);
+        const request_number number = driver.submit("/all/x");
         CHECK(driver.started.empty());
         REQUIRE(driver.answers.count(number) == 1);
         CHECK(driver.answers.at(number).end == routed_end::refused);
@@ -105,7 +105,7 @@
     }
 }
 
-TEST_CASE("an instance that ends gives each open request its final answer", "[router]")
+TEST_CASE("an instance that stops gives each open request its final answer", "[router]")
 {
     router_driver driver;
     route single = fan_out_over(1, 0.5);
@@ -113,14 +113,14 @@
     single.name = "one";
     single.path_prefix = "/one/";
     single.targets = {{service_name("s0"), 1}};
-    driver.serve({{"all", fan_out_over(4, 0.5)}, {"one", single}}, 4);
-    const request_number enough = driver.ask("/all/x");
+    driver.configure({{"all", fan_out_over(4, 0.5)}, {"one", single}}, 4);
+    const request_number enough = driver.submit("/all/x");
     for (const char* service : {"s0", "s1"})
     {
-        driver.end(service, attempt_status::answered);
+        driver.end_attempt(service, attempt_status::answered);
     }
-    const request_number little = driver.ask("/all/x");
-    const request_number alone = driver.ask("/one/x");
+    const request_number little = driver.submit("/all/x");
+    const request_number alone = driver.submit("/one/x");
     driver.answer_all();
     CHECK(driver.answers.at(enough).end == routed_end::merged);
     CHECK(driver.answers.at(enough).missing == 2);
@@ -132,88 +132,88 @@
 {
     router_driver driver;
 
-    SECTION("goes to a near backend server as long as that isn't slower")
+    SECTION("goes to a backend server in the own region while that one has free slots")
     {
         driver.last_replica_zone = "near-zone";
-        driver.serve({{"one", single(true)}}, 1, 3);
+        driver.configure({{"one", single(true)}}, 1, 3);
         for (int i = 0; i < 2; ++i)
         {
-            driver.ask("/one/x");
+            driver.submit("/one/x");
             CHECK(driver.started.back().server.str() == "s0-2");
         }
-        // Its slots are in use.
-        driver.ask("/one/x");
+        // All slots of the near backend server are in use.
+        driver.submit("/one/x");
         CHECK(driver.started.back().server.str() != "s0-2");
     }
 
-    SECTION("the backend server's answer is passed on")
+    SECTION("is answered with the backend server's answer, unchanged")
     {
-        driver.serve({{"one", single(true)}}, 1);
-        const request_number asked = driver.ask("/one/x");
-        driver.end("s0", attempt_status::answered);
+        driver.configure({{"one", single(true)}}, 1);
+        const request_number asked = driver.submit("/one/x");
+        driver.end_attempt("s0", attempt_status::answered);
         CHECK(driver.answers.at(asked).end == routed_end::passed_on);
         CHECK(driver.answers.at(asked).answer->signature.rfind("by-s0", 0) == 0);
     }
-    SECTION("no route")
+    SECTION("is answered with no_route if no route matches")
     {
-        driver.serve({{"one", single(true)}}, 1);
-        CHECK(driver.answers.at(driver.ask("/two/x")).end == routed_end::no_route);
+        driver.configure({{"one", single(true)}}, 1);
+        CHECK(driver.answers.at(driver.submit("/two/x")).end == routed_end::no_route);
     }
-    SECTION("what may run once isn't tried again after a lost answer, and isn't called refused")
+    SECTION("fails without a second attempt if it is not repeatable and the answer is lost")
     {
-        driver.serve({{"one", single(false)}}, 1);
-        const request_number asked = driver.ask("/one/x");
-        driver.end("s0", attempt_status::cut);
+        driver.configure({{"one", single(false)}}, 1);
+        const request_number asked = driver.submit("/one/x");
+        driver.end_attempt("s0", attempt_status::cut);
         CHECK(driver.started.empty());
         CHECK(driver.answers.at(asked).end == routed_end::failed);
     }
-    SECTION("what may run once is tried elsewhere after a refusal")
+    SECTION("is sent to another backend server after a refusal even if it is not repeatable")
     {
-        driver.serve({{"one", single(false)}}, 1);
-        const request_number asked = driver.ask("/one/x");
-        driver.end("s0", attempt_status::shed);
+        driver.configure({{"one", single(false)}}, 1);
+        const request_number asked = driver.submit("/one/x");
+        driver.end_attempt("s0", attempt_status::shed);
         REQUIRE(driver.started.size() == 1);
-        driver.end("s0", attempt_status::answered);
+        driver.end_attempt("s0", attempt_status::answered);
         CHECK(driver.answers.at(asked).end == routed_end::passed_on);
     }
-    SECTION("a failure is passed on as the backend server gave it where nothing better came")
+    SECTION("is answered with the backend server's error answer if there is no better answer")
     {
-        driver.serve({{"one", single(false)}}, 1);
-        const request_number asked = driver.ask("/one/x");
-        driver.end("s0", attempt_status::cut, 500);
+        driver.configure({{"one", single(false)}}, 1);
+        const request_number asked = driver.submit("/one/x");
+        driver.end_attempt("s0", attempt_status::cut, 500);
         CHECK(driver.answers.at(asked).end == routed_end::passed_on);
         CHECK(driver.answers.at(asked).answer->status == 500);
     }
-    SECTION("no more backend servers than the route allows")
+    SECTION("is sent to no more backend servers than the route allows")
     {
-        driver.serve({{"one", single(true)}}, 1, 5);
-        const request_number asked = driver.ask("/one/x");
-        driver.end("s0", attempt_status::cut);
+        driver.configure({{"one", single(true)}}, 1, 5);
+        const request_number asked = driver.submit("/one/x");
+        driver.end_attempt("s0", attempt_status::cut);
         REQUIRE(driver.started.size() == 1);
-        driver.end("s0", attempt_status::cut);
+        driver.end_attempt("s0", attempt_status::cut);
         CHECK(driver.started.empty());
         CHECK(driver.answers.at(asked).end == routed_end::failed);
     }
 }
 
-TEST_CASE("a weighted target that is short of room refuses its share; nothing of it moves to another",
+TEST_CASE("requests for a weighted target without capacity are refused and do not move to another target",
           "[router]")
 {
     router_driver driver;
     route split = single(true);
     split.targets = {{service_name("s0"), 3}, {service_name("s1"), 1}};
-    driver.serve({{"one", split}}, 1);
+    driver.configure({{"one", split}}, 1);
     int refused = 0;
     for (int i = 0; i < 40; ++i)
     {
-        const request_number number = driver.ask("/one/x");
+        const request_number number = driver.submit("/one/x");
         if (driver.answers.count(number) > 0)
         {
             CHECK(driver.answers.at(number).end == routed_end::refused);
             ++refused;
             continue;
         }
-        driver.end("s0", attempt_status::answered);
+        driver.end_attempt("s0", attempt_status::answered);
     }
     CHECK(refused == 10);
     CHECK(driver.started.empty());
@@ -224,341 +224,339 @@
     router_driver driver;
     driver.peers = {{instance_name("f1"), "far", "far-zone", ""},
                     {instance_name("f2"), "far", "far-zone", ""}};
-    driver.serve({{"all", fan_out_over(4, 0.75)}, {"one", single(true)}}, 4);
+    driver.configure({{"all", fan_out_over(4, 0.75)}, {"one", single(true)}}, 4);
 
-    SECTION("is run by an entry there, in turns, and its answer is passed on")
+    SECTION("is delegated to the entries of that region in turn, and their result is the answer")
     {
-        const request_number first = driver.ask("/all/x");
-        driver.ask("/all/y");
-        REQUIRE(driver.sent_away.size() == 2);
+        const request_number first = driver.submit("/all/x");
+        driver.submit("/all/y");
+        REQUIRE(driver.delegations.size() == 2);
         CHECK(driver.started.empty());
-        CHECK(driver.sent_away[0].peer != driver.sent_away[1].peer);
-        // The way there and back is taken off what is left until the objective.
-        CHECK(driver.sent_away[0].answer_within < duration::from_ms(80 - 29));
-        driver.returned(driver.sent_away[0], routed_end::merged, 1);
+        CHECK(driver.delegations[0].peer != driver.delegations[1].peer);
+        // The round trip is subtracted from the time left until the objective.
+        CHECK(driver.delegations[0].answer_within < duration::from_ms(80 - 29));
+        driver.receive_final_outcome(driver.delegations[0], routed_end::merged, 1);
         CHECK(driver.answers.at(first).end == routed_end::merged);
         CHECK(driver.answers.at(first).missing == 1);
     }
-    SECTION("in part: the near shards are run here, the others there, and the whole is merged")
+    SECTION("is delegated in part if some shards are near; the results are merged")
     {
         driver.near_services = 2;
-        driver.serve({{"all", fan_out_over(4, 0.75)}}, 4);
-        const request_number first = driver.ask("/all/x");
+        driver.configure({{"all", fan_out_over(4, 0.75)}}, 4);
+        const request_number first = driver.submit("/all/x");
         REQUIRE(driver.started.size() == 2);
-        REQUIRE(driver.sent_away.size() == 1);
-        CHECK(driver.sent_away[0].shards == std::vector<std::size_t>{2, 3});
-        driver.returned(driver.sent_away[0], routed_end::merged);
+        REQUIRE(driver.delegations.size() == 1);
+        CHECK(driver.delegations[0].shards == std::vector<std::size_t>{2, 3});
+        driver.receive_final_outcome(driver.delegations[0], routed_end::merged);
         CHECK(driver.answers.empty());
-        driver.end("s0", attempt_status::answered);
-        driver.end("s1", attempt_status::answered);
-        const routed_outcome& told = driver.answers.at(first);
-        CHECK(told.missing == 0);
-        CHECK(told.signatures.size() == 4);
-        CHECK(told.merged == std::string(record_bytes, 'z') + std::string(record_bytes, 'y'));
+        driver.end_attempt("s0", attempt_status::answered);
+        driver.end_attempt("s1", attempt_status::answered);
+        const routed_outcome& result = driver.answers.at(first);
+        CHECK(result.missing == 0);
+        CHECK(result.signatures.size() == 4);
+        CHECK(result.merged == std::string(record_bytes, 'z') + std::string(record_bytes, 'y'));
     }
-    SECTION("a single far shard is asked directly")
+    SECTION("is run directly if only one shard is in the other region")
     {
         driver.near_services = 3;
-        driver.serve({{"all", fan_out_over(4, 0.75)}}, 4);
-        driver.ask("/all/x");
-        CHECK(driver.sent_away.empty());
+        driver.configure({{"all", fan_out_over(4, 0.75)}}, 4);
+        driver.submit("/all/x");
+        CHECK(driver.delegations.empty());
         CHECK(driver.started.size() == 4);
     }
-    SECTION("is run here if that entry refuses, and that entry is passed over for a while")
+    SECTION("is run locally if the other entry refuses, and that entry is in back-off afterwards")
     {
-        const request_number first = driver.ask("/all/x");
-        const instance_name refused_by = driver.sent_away.at(0).peer;
-        driver.returned(driver.sent_away[0], routed_end::refused);
+        const request_number first = driver.submit("/all/x");
+        const instance_name refused_by = driver.delegations.at(0).peer;
+        driver.receive_final_outcome(driver.delegations[0], routed_end::refused);
         CHECK(driver.started.size() == 4);
-        driver.ask("/all/y");
-        driver.ask("/all/z");
-        REQUIRE(driver.sent_away.size() == 3);
-        CHECK(driver.sent_away[1].peer != refused_by);
-        CHECK(driver.sent_away[2].peer != refused_by);
+        driver.submit("/all/y");
+        driver.submit("/all/z");
+        REQUIRE(driver.delegations.size() == 3);
+        CHECK(driver.delegations[1].peer != refused_by);
+        CHECK(driver.delegations[2].peer != refused_by);
         for (const char* service : {"s0", "s1", "s2", "s3"})
         {
-            driver.end(service, attempt_status::answered);
+            driver.end_attempt(service, attempt_status::answered);
         }
         CHECK(driver.answers.at(first).missing == 0);
     }
-    SECTION(
-        "is run here, too, if that entry is silent when its first word is due; its late word isn't mixed in")
+    SECTION("is run locally if no partial outcome arrives in time; a later outcome is ignored")
     {
-        driver.pass(4000);
-        const request_number first = driver.ask("/all/x");
-        driver.pass(55);
+        driver.advance(4000);
+        const request_number first = driver.submit("/all/x");
+        driver.advance(55);
         CHECK(driver.started.empty());
-        driver.pass(10);
+        driver.advance(10);
         CHECK(driver.started.size() == 4);
-        driver.returned(driver.sent_away.at(0), routed_end::merged);
+        driver.receive_final_outcome(driver.delegations.at(0), routed_end::merged);
         CHECK(driver.answers.empty());
         for (const char* service : {"s0", "s1", "s2"})
         {
-            driver.end(service, attempt_status::answered);
+            driver.end_attempt(service, attempt_status::answered);
         }
-        driver.pass(16);
+        driver.advance(16);
         CHECK(driver.answers.at(first).missing == 1);
         CHECK(driver.answers.at(first).delegates.empty());
     }
-    SECTION("isn't run here as long as that entry says that it runs it; the final word brings the rest")
+    SECTION("isn't run locally while partial outcomes arrive; the final outcome completes them")
     {
-        const request_number first = driver.ask("/all/x");
-        driver.pass(50);
-        driver.told_progress(driver.sent_away.at(0), 2);
-        driver.pass(28);
+        const request_number first = driver.submit("/all/x");
+        driver.advance(50);
+        driver.receive_partial_outcome(driver.delegations.at(0), 2);
+        driver.advance(28);
         CHECK(driver.started.empty());
         CHECK(driver.answers.empty());
-        driver.returned(driver.sent_away[0], routed_end::merged, 1, 2);
-        driver.pass(5);
+        driver.receive_final_outcome(driver.delegations[0], routed_end::merged, 1, 2);
+        driver.advance(5);
         CHECK(driver.answers.at(first).signatures == std::vector<std::string>{"by-s2", "by-s3", "by-s1"});
         CHECK(driver.answers.at(first).missing_services == std::vector{service_name("s0")});
         CHECK(driver.answers.at(first).missing == 1);
     }
-    SECTION("is answered at the objective with what that entry told so far")
+    SECTION("is answered at the objective with the parts of the partial outcome")
     {
-        const request_number first = driver.ask("/all/x");
-        driver.told_progress(driver.sent_away.at(0), 1);
-        driver.pass(81);
+        const request_number first = driver.submit("/all/x");
+        driver.receive_partial_outcome(driver.delegations.at(0), 1);
+        driver.advance(81);
         CHECK(driver.answers.at(first).end == routed_end::merged);
         CHECK(driver.answers.at(first).missing == 1);
     }
-    SECTION("is run here at once if the link to that entry breaks")
+    SECTION("is run locally at once if the link to the other entry breaks")
     {
-        driver.pass(4000);
-        driver.ask("/all/x");
-        driver.lose(driver.sent_away.at(0).peer);
+        driver.advance(4000);
+        driver.submit("/all/x");
+        driver.disconnect_entry(driver.delegations.at(0).peer);
         CHECK(driver.started.size() == 4);
     }
-    SECTION("keeps the parts that an entry told before its link broke")
+    SECTION("keeps the parts of a partial outcome if the link breaks afterwards")
     {
-        driver.pass(4000);
-        const request_number first = driver.ask("/all/x");
-        driver.told_progress(driver.sent_away.at(0), 1);
-        driver.lose(driver.sent_away.at(0).peer);
+        driver.advance(4000);
+        const request_number first = driver.submit("/all/x");
+        driver.receive_partial_outcome(driver.delegations.at(0), 1);
+        driver.disconnect_entry(driver.delegations.at(0).peer);
         CHECK(driver.started.empty());
         CHECK(driver.answers.at(first).missing == 1);
     }
-    SECTION("a word that comes after the link broke isn't counted: one before it may be lost")
+    SECTION("ignores an outcome that arrives after the link broke, as an earlier one may be lost")
     {
-        const request_number first = driver.ask("/all/x");
-        driver.told_progress(driver.sent_away.at(0), 1);
-        driver.lose(driver.sent_away.at(0).peer);
-        driver.returned(driver.sent_away[0], routed_end::merged, 0, 3);
-        const routed_outcome& told = driver.answers.at(first);
-        CHECK(told.signatures.size() == 3);
-        CHECK(told.missing == 1);
+        const request_number first = driver.submit("/all/x");
+        driver.receive_partial_outcome(driver.delegations.at(0), 1);
+        driver.disconnect_entry(driver.delegations.at(0).peer);
+        driver.receive_final_outcome(driver.delegations[0], routed_end::merged, 0, 3);
+        const routed_outcome& result = driver.answers.at(first);
+        CHECK(result.signatures.size() == 3);
+        CHECK(result.missing == 1);
     }
-    SECTION("the number of missing parts is true even if a word of the entry was lost")
+    SECTION("counts parts as missing if the partial outcome that held them was lost")
     {
-        const request_number first = driver.ask("/all/x");
-        // The last three parts were told in a word that never came.
-        driver.returned(driver.sent_away.at(0), routed_end::merged, 0, 1);
-        const routed_outcome& told = driver.answers.at(first);
-        CHECK(told.signatures.size() == 3);
-        CHECK(told.missing == 1);
+        const request_number first = driver.submit("/all/x");
+        // The final outcome omits one part, which a lost partial outcome held.
+        driver.receive_final_outcome(driver.delegations.at(0), routed_end::merged, 0, 1);
+        const routed_outcome& result = driver.answers.at(first);
+        CHECK(result.signatures.size() == 3);
+        CHECK(result.missing == 1);
     }
-    SECTION("may still answer late where the budget doesn't pay for a second run")
+    SECTION("accepts a late outcome if the retry budget doesn't allow to run the shards again")
     {
-        driver.pass(4000);
+        driver.advance(4000);
         for (int i = 0; i < 40; ++i)
         {
-            driver.ask("/all/x");
+            driver.submit("/all/x");
         }
-        driver.pass(125);
+        driver.advance(125);
         CHECK(driver.answers.empty());
-        driver.returned(driver.sent_away.back(), routed_end::merged);
+        driver.receive_final_outcome(driver.delegations.back(), routed_end::merged);
         CHECK(driver.answers.size() == 1);
     }
-    SECTION("is abandoned there if its caller goes")
+    SECTION("is abandoned at the other entry if its caller disconnects")
     {
-        driver.gone(driver.ask("/all/x"));
+        driver.disconnect_caller(driver.submit("/all/x"));
         CHECK(driver.abandoned.size() == 1);
     }
-    SECTION("a request to one service isn't sent away")
+    SECTION("doesn't affect a request to one service, which is never delegated")
     {
-        driver.ask("/one/x");
-        CHECK(driver.sent_away.empty());
+        driver.submit("/one/x");
+        CHECK(driver.delegations.empty());
         CHECK(driver.started.size() == 1);
     }
-    SECTION("what another entry asked for is answered when it asked for it, whatever its share")
+    SECTION("sends a delegating entry its partial outcome in time, with any share of the parts")
     {
-        const request_number number = driver.arrive_as_peer("/all/x", true);
-        driver.end("s1", attempt_status::answered);
-        driver.pass(21);
+        const request_number number = driver.submit_delegated("/all/x", true);
+        driver.end_attempt("s1", attempt_status::answered);
+        driver.advance(21);
         REQUIRE(driver.progress.count(number) == 1);
         CHECK(driver.progress.at(number).signatures.size() == 1);
         CHECK(driver.progress.at(number).is_progress);
         CHECK(driver.progress.at(number).missing == 1);
-        // The rest may still be of use after that; the end is the asker's deadline.
-        driver.pass(70);
+        // Later parts may still be of use; the request ends at the delegating entry's deadline.
+        driver.advance(70);
         CHECK(driver.answers.empty());
-        driver.pass(12);
+        driver.advance(12);
         CHECK(driver.answers.at(number).end == routed_end::merged);
         CHECK(driver.answers.at(number).missing == 1);
     }
-    SECTION("what comes between the first word and the time that was asked for is told then")
+    SECTION("sends a second partial outcome with the parts that succeeded after the first one")
     {
-        const request_number number = driver.arrive_as_peer("/all/x", true);
-        driver.pass(21);
+        const request_number number = driver.submit_delegated("/all/x", true);
+        driver.advance(21);
         CHECK(driver.progress.at(number).signatures.empty());
-        driver.end("s1", attempt_status::answered);
-        driver.pass(30);
+        driver.end_attempt("s1", attempt_status::answered);
+        driver.advance(30);
         CHECK(driver.progress.at(number).signatures.size() == 1);
-        driver.end("s2", attempt_status::answered);
+        driver.end_attempt("s2", attempt_status::answered);
         CHECK(driver.answers.at(number).end == routed_end::merged);
         CHECK(driver.answers.at(number).missing == 0);
         CHECK(driver.answers.at(number).signatures.size() == 1);
     }
-    SECTION("what another entry may have run already is paid from the budget, or isn't run")
+    SECTION("runs a repeated delegation only within the retry budget")
     {
-        driver.pass(4000);
+        driver.advance(4000);
         int ran = 0;
         for (int i = 0; i < 30; ++i)
         {
             const auto before = driver.started.size();
-            driver.arrive_as_peer("/all/x", true, true);
+            driver.submit_delegated("/all/x", true, true);
             ran += driver.started.size() > before ? 1 : 0;
         }
         CHECK(ran > 0);
         CHECK(ran <= 10);
     }
-    SECTION(
-        "what another entry may have run is run on the backend server that the asker names, or not at all")
+    SECTION("runs a repeated delegation only on the designated backend servers")
     {
-        driver.serve({{"all", fan_out_over(4, 0.75)}}, 4, 3);
+        driver.configure({{"all", fan_out_over(4, 0.75)}}, 4, 3);
         driver.designated = {"s1-1", "s2-2"};
-        driver.arrive_as_peer("/all/x", true, true);
+        driver.submit_delegated("/all/x", true, true);
         REQUIRE(driver.started.size() == 2);
         CHECK(driver.started[0].server.str() == "s1-1");
         CHECK(driver.started[1].server.str() == "s2-2");
         driver.started.clear();
         driver.designated = {"gone-1", "gone-2"};
-        const request_number number = driver.arrive_as_peer("/all/x", true, true);
+        const request_number number = driver.submit_delegated("/all/x", true, true);
         CHECK(driver.started.empty());
         CHECK(driver.answers.at(number).end == routed_end::refused);
     }
-    SECTION("an asker names the backend servers nearest to the entry that it asks, where there are more than "
-            "attempts")
-    {
-        CHECK(driver.sent_away.empty());
-        driver.serve({{"all", fan_out_over(4, 0.75)}}, 4, 3);
-        driver.ask("/all/x");
-        REQUIRE(driver.sent_away.size() == 1);
-        CHECK(driver.sent_away[0].designated.size() == 4);
-        CHECK(driver.sent_away[0].designated.at(1).str() == "s1-0");
-        driver.serve({{"all", fan_out_over(4, 0.75)}}, 4, 2);
-        driver.ask("/all/x");
-        CHECK(driver.sent_away.at(1).designated.empty());
-    }
-    SECTION("another list of shards midway: what is asked again still goes by the list that it began with")
-    {
-        driver.pass(4000);
-        driver.ask("/all/x");
-        driver.serve({{"all", fan_out_over(2, 0.75)}}, 4);
-        driver.returned(driver.sent_away.at(0), routed_end::refused);
+    SECTION(
+        "designates the backend servers nearest to the other entry if there are more replicas than attempts")
+    {
+        CHECK(driver.delegations.empty());
+        driver.configure({{"all", fan_out_over(4, 0.75)}}, 4, 3);
+        driver.submit("/all/x");
+        REQUIRE(driver.delegations.size() == 1);
+        CHECK(driver.delegations[0].designated.size() == 4);
+        CHECK(driver.delegations[0].designated.at(1).str() == "s1-0");
+        driver.configure({{"all", fan_out_over(4, 0.75)}}, 4, 2);
+        driver.submit("/all/x");
+        CHECK(driver.delegations.at(1).designated.empty());
+    }
+    SECTION("is run again by its own list of shards if a new list is configured meanwhile")
+    {
+        driver.advance(4000);
+        driver.submit("/all/x");
+        driver.configure({{"all", fan_out_over(2, 0.75)}}, 4);
+        driver.receive_final_outcome(driver.delegations.at(0), routed_end::refused);
         for (const start_routed_attempt& item : driver.started)
         {
             CHECK(item.service.str() != "s4");
         }
         CHECK(driver.started.size() == 4);
-        CHECK(driver.sent_away.at(0).list == list_id(fan_out_over(4, 0.75).fan_out));
+        CHECK(driver.delegations.at(0).list == list_id(fan_out_over(4, 0.75).fan_out));
     }
-    SECTION("what another entry asked for isn't sent on, and runs only by the same list of shards")
+    SECTION("runs a delegated request only for the same list of shards, and doesn't delegate it further")
     {
-        CHECK(driver.ask_as_peer("/all/x", true) == routed_end::late);
-        CHECK(driver.sent_away.empty());
+        CHECK(driver.end_of_delegated_request("/all/x", true) == routed_end::late);
+        CHECK(driver.delegations.empty());
         CHECK(driver.running("s1") > 0);
         CHECK(driver.running("s0") == 0);
-        CHECK(driver.ask_as_peer("/all/x", false) == routed_end::refused);
+        CHECK(driver.end_of_delegated_request("/all/x", false) == routed_end::refused);
     }
 }
 
-TEST_CASE("a fan-out of which nothing is answered is sent to few second backend servers", "[router]")
+TEST_CASE("a fan-out without any answer starts second attempts for few parts only", "[router]")
 {
     router_driver driver;
-    driver.serve({{"all", fan_out_over(6, 0.75)}}, 6);
-    // For the allowance to grow.
-    driver.pass(10000);
-    driver.ask("/all/slow");
+    driver.configure({{"all", fan_out_over(6, 0.75)}}, 6);
+    // The retry budget accrues.
+    driver.advance(10000);
+    driver.submit("/all/slow");
     REQUIRE(driver.started.size() == 6);
-    driver.pass(60);
+    driver.advance(60);
     CHECK(driver.started.size() == 9);
-    driver.end("s0", attempt_status::answered);
-    driver.pass(15);
+    driver.end_attempt("s0", attempt_status::answered);
+    driver.advance(15);
     CHECK(driver.started.size() > 9);
 }
 
-TEST_CASE("a request that waits for a moment outlives its withdrawn service", "[router]")
+TEST_CASE("a queued request remains valid after its service is removed", "[router]")
 {
     router_driver driver;
-    driver.serve({{"one", single(true)}}, 1, 1);
-    const request_number asked = driver.ask("/one/x");
-    driver.end("s0", attempt_status::shed);
+    driver.configure({{"one", single(true)}}, 1, 1);
+    const request_number asked = driver.submit("/one/x");
+    driver.end_attempt("s0", attempt_status::shed);
     REQUIRE(driver.started.empty());
     REQUIRE(driver.answers.empty());
-    driver.serve({}, 0);
-    driver.gone(asked);
-    driver.pass(600);
+    driver.configure({}, 0);
+    driver.disconnect_caller(asked);
+    driver.advance(600);
     CHECK(driver.answers.empty());
 }
 
-TEST_CASE("what other entries still run for a request is abandoned once it is answered", "[router]")
+TEST_CASE("open delegations of a request are abandoned when the request is answered", "[router]")
 {
     router_driver driver;
     driver.near_services = 2;
     driver.peers = {{instance_name("f1"), "far", "far-zone", ""},
                     {instance_name("f2"), "far", "far-zone", ""}};
-    driver.serve({{"all", fan_out_over(4, 0.75)}}, 4);
-    const request_number asked = driver.ask("/all/x");
-    REQUIRE(driver.sent_away.size() == 1);
+    driver.configure({{"all", fan_out_over(4, 0.75)}}, 4);
+    const request_number asked = driver.submit("/all/x");
+    REQUIRE(driver.delegations.size() == 1);
 
-    SECTION("as it has failed")
+    SECTION("after a failure")
     {
         for (int i = 0; i < 2; ++i)
         {
-            driver.end("s0", attempt_status::cut);
-            driver.end("s1", attempt_status::cut);
+            driver.end_attempt("s0", attempt_status::cut);
+            driver.end_attempt("s1", attempt_status::cut);
         }
         REQUIRE(driver.answers.at(asked).end == routed_end::failed);
         REQUIRE(driver.abandoned.size() == 1);
-        CHECK(driver.abandoned[0].number == driver.sent_away[0].number);
+        CHECK(driver.abandoned[0].number == driver.delegations[0].number);
         CHECK_FALSE(driver.abandoned[0].stops);
     }
-    SECTION("with what was in at the objective")
+    SECTION("after an answer at the objective with missing parts")
     {
-        driver.end("s0", attempt_status::answered);
-        driver.end("s1", attempt_status::answered);
-        driver.told_progress(driver.sent_away[0], 1);
-        driver.pass(90);
+        driver.end_attempt("s0", attempt_status::answered);
+        driver.end_attempt("s1", attempt_status::answered);
+        driver.receive_partial_outcome(driver.delegations[0], 1);
+        driver.advance(90);
         REQUIRE(driver.answers.at(asked).end == routed_end::merged);
         CHECK(driver.abandoned.size() == 1);
     }
-    SECTION("but not where all of it has come")
+    SECTION("but not if the delegation has ended")
     {
-        driver.end("s0", attempt_status::answered);
-        driver.end("s1", attempt_status::answered);
-        driver.returned(driver.sent_away[0], routed_end::merged);
+        driver.end_attempt("s0", attempt_status::answered);
+        driver.end_attempt("s1", attempt_status::answered);
+        driver.receive_final_outcome(driver.delegations[0], routed_end::merged);
         REQUIRE(driver.answers.at(asked).end == routed_end::merged);
         CHECK(driver.abandoned.empty());
     }
 }
 
-TEST_CASE("what an entry runs for another one that no longer awaits it gets no further attempt", "[router]")
+TEST_CASE("a delegated request that is no longer awaited gets no further attempt", "[router]")
 {
     router_driver driver;
-    driver.serve({{"all", fan_out_over(4, 0.5)}}, 4);
-    const request_number number = driver.arrive_as_peer("/all/x", true);
+    driver.configure({{"all", fan_out_over(4, 0.5)}}, 4);
+    const request_number number = driver.submit_delegated("/all/x", true);
     REQUIRE(driver.started.size() == 2);
     driver.no_longer_awaited(number);
     CHECK(driver.cancelled.empty());
-    driver.end("s1", attempt_status::cut);
-    driver.end("s2", attempt_status::answered);
-    driver.pass(200);
+    driver.end_attempt("s1", attempt_status::cut);
+    driver.end_attempt("s2", attempt_status::answered);
+    driver.advance(200);
     CHECK(driver.started.empty());
     CHECK(driver.answers.empty());
 }
 
-TEST_CASE("a view costs what changed since the one before", "[router]")
+TEST_CASE("a new view configures only the schedulers of changed services", "[router]")
 {
     for (const int services : {30, 300, 3300})
     {
@@ -593,16 +591,16 @@
     }
 }
 
-TEST_CASE("attempts that ended leave no timer behind", "[router]")
+TEST_CASE("ended attempts leave no timer behind", "[router]")
 {
     router_driver driver;
-    driver.serve({{"all", fan_out_over(4, 0.5)}}, 4);
-    const request_number number = driver.ask("/all/x");
+    driver.configure({{"all", fan_out_over(4, 0.5)}}, 4);
+    const request_number number = driver.submit("/all/x");
     for (const char* service : {"s0", "s1", "s2", "s3"})
     {
-        driver.end(service, attempt_status::answered);
+        driver.end_attempt(service, attempt_status::answered);
     }
     REQUIRE(driver.answers.count(number) == 1);
-    // Each would wake the process for nothing, and an instance has a small part of a core.
+    // Each needless timer wakes the process, and an instance has only a small share of a core.
     CHECK(driver.next_time() == time_point::never());
 }
--- a/tests/src/unit-routing.cpp
+++ b/tests/src/unit-routing.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("the route of a request", "[routing]")
+TEST_CASE("a request is matched to a route by host and path prefix", "[routing]")
 {
     std::map<std::string, route> routes;
     routes["a"] = route_at("a", "one.example", "/a/");
@@ -42,7 +42,7 @@
         return found ? found->name : std::string("none");
     };
 
-    SECTION("the longest prefix of the host wins")
+    SECTION("the longest matching prefix of the host wins")
     {
         CHECK(name_at("one.example", "/a/x") == "a");
         CHECK(name_at("one.example", "/a/b/x") == "ab");
@@ -50,12 +50,12 @@
         CHECK(name_at("two.example", "/a/b/x") == "other");
         CHECK(name_at("three.example", "/anything") == "root");
     }
-    SECTION("case and port of the host don't count, a query isn't part of the path")
+    SECTION("the host's case and port and the query are ignored")
     {
         CHECK(name_at("One.Example:8080", "/a/b/?c=/d/") == "ab");
         CHECK(name_at("one.example", "/a?x=/a/b/") == "none");
     }
-    SECTION("no host, no prefix: none")
+    SECTION("no route matches an unknown host or prefix")
     {
         CHECK(name_at("four.example", "/a/") == "none");
         CHECK(name_at("one.example", "/b/") == "none");
@@ -63,7 +63,7 @@
     }
 }
 
-TEST_CASE("division among weighted targets", "[routing]")
+TEST_CASE("requests are distributed over targets by weight", "[routing]")
 {
     route split = route_at("split", "h", "/");
     split.targets = {
@@ -78,12 +78,12 @@
         }
     };
 
-    SECTION("any ten in a row have exactly the shares")
+    SECTION("each ten consecutive requests are divided exactly by weight")
     {
         ask(30);
         CHECK(count == std::map<std::string, int>{{"a", 21}, {"b", 6}, {"c", 3}});
     }
-    SECTION("other weights start afresh")
+    SECTION("changed weights restart the distribution")
     {
         ask(3);
         count.clear();
@@ -93,20 +93,20 @@
     }
 }
 
-TEST_CASE("the greatest records of several bodies", "[routing]")
+TEST_CASE("the greatest records of several bodies are merged", "[routing]")
 {
-    SECTION("greatest first, by unsigned bytes, equal ones all counted")
+    SECTION("in descending order of unsigned bytes, with all equal records")
     {
         const std::string one = record('a') + record('\xff');
         const std::string two = record('b') + record('a');
         CHECK(top_records({one, two}, 3) == record('\xff') + record('b') + record('a'));
         CHECK(top_records({one, two}, 9) == record('\xff') + record('b') + record('a') + record('a'));
     }
-    SECTION("a rest shorter than a record isn't one")
+    SECTION("a remainder shorter than a record is ignored")
     {
         CHECK(top_records({record('a') + "tail", "x"}, 5) == record('a'));
     }
-    SECTION("nothing wanted or nothing there")
+    SECTION("the result is empty if no records are requested or given")
     {
         CHECK(top_records({record('a')}, 0).empty());
         CHECK(top_records({}, 5).empty());
--- a/tests/src/unit-shard-plan.cpp
+++ b/tests/src/unit-shard-plan.cpp
@@ -102,22 +102,22 @@
 
 } // namespace
 
-TEST_CASE("shards are run here while connections suffice for every entry", "[plan]")
+TEST_CASE("an entry runs all shards itself while every entry has enough connections", "[plan]")
 {
-    const plan_fixture site(20, 2, 12 * slots);
-    shard_plan plan(site.view_of("r1-a0"));
-    CHECK(plan.groups_of(site.matched_route).empty());
+    const plan_fixture fixture(20, 2, 12 * slots);
+    shard_plan plan(fixture.view_of("r1-a0"));
+    CHECK(plan.groups_of(fixture.matched_route).empty());
     CHECK_FALSE(plan.is_owned(service_name("s0")));
     CHECK(plan.linked_owners().empty());
 }
 
-TEST_CASE("shards have owners where connections don't suffice", "[plan]")
+TEST_CASE("shards have owners if there are too few connections for every entry", "[plan]")
 {
-    const plan_fixture site(90, 15, 66);
-    shard_plan plan(site.view_of("r1-b0"));
-    const std::vector<shard_plan::group> groups = plan.groups_of(site.matched_route);
+    const plan_fixture fixture(90, 15, 66);
+    shard_plan plan(fixture.view_of("r1-b0"));
+    const std::vector<shard_plan::group> groups = plan.groups_of(fixture.matched_route);
 
-    SECTION("as many groups as shards in each, of entries beside the replicas")
+    SECTION("there are as many groups as shards in each, owned by entries in the zone of the replicas")
     {
         CHECK(groups.size() == 10);
         CHECK(shards_in(groups) == 90);
@@ -132,15 +132,15 @@
             }
         }
     }
-    SECTION("all entries of the region plan alike, the owners themselves too")
+    SECTION("all entries of a region, owners included, have the same plan")
     {
         for (const char* other : {"r1-a0", "r1-a7", "r1-b3"})
         {
-            shard_plan same(site.view_of(other));
-            CHECK(same.groups_of(site.matched_route) == groups);
+            shard_plan same(fixture.view_of(other));
+            CHECK(same.groups_of(fixture.matched_route) == groups);
         }
     }
-    SECTION("no entry owns two groups while there are enough entries")
+    SECTION("no entry owns two groups if there are enough entries")
     {
         std::set<instance_name> owners;
         for (const auto& item : groups)
@@ -148,27 +148,27 @@
             CHECK(owners.insert(item.runner_candidates.front()).second);
         }
     }
-    SECTION("another region has owners of its own")
+    SECTION("another region has its own owners")
     {
-        shard_plan far(site.view_of("r2-b0"));
-        for (const auto& item : far.groups_of(site.matched_route))
+        shard_plan far(fixture.view_of("r2-b0"));
+        for (const auto& item : far.groups_of(fixture.matched_route))
         {
             CHECK(item.runner_candidates.front().str().rfind("r2-a", 0) == 0);
         }
     }
-    SECTION("the first two owners of each group know that they are")
+    SECTION("the first two owners of each group count themselves as owners")
     {
         for (const auto& item : groups)
         {
-            const service_name service = site.matched_route.fan_out[item.shards.front()];
-            CHECK(shard_plan(site.view_of(item.runner_candidates[0].str())).owns(service));
-            CHECK(shard_plan(site.view_of(item.runner_candidates[1].str())).owns(service));
+            const service_name service = fixture.matched_route.fan_out[item.shards.front()];
+            CHECK(shard_plan(fixture.view_of(item.runner_candidates[0].str())).owns(service));
+            CHECK(shard_plan(fixture.view_of(item.runner_candidates[1].str())).owns(service));
         }
         CHECK_FALSE(plan.owns(service_name("s0")));
     }
-    SECTION("one entry less moves few groups")
+    SECTION("removing an entry reassigns few groups")
     {
-        routing_view less = site.view_of("r1-b0");
+        routing_view less = fixture.view_of("r1-b0");
         const instance_name gone = groups[0].runner_candidates[0];
         std::vector<entry_peer> peers = *less.peers;
         std::erase_if(peers,
@@ -181,17 +181,17 @@
         std::size_t moved = 0;
         for (std::size_t i = 0; i < groups.size(); ++i)
         {
-            moved +=
-                next.groups_of(site.matched_route)[i].runner_candidates[0] != groups[i].runner_candidates[0]
-                    ? 1
-                    : 0;
+            moved += next.groups_of(fixture.matched_route)[i].runner_candidates[0] !=
+                             groups[i].runner_candidates[0]
+                         ? 1
+                         : 0;
         }
         CHECK(moved >= 1);
         CHECK(moved <= 4);
     }
-    SECTION("replicas that leave hand their shards to another region's entries")
+    SECTION("shards whose near replicas are leaving go to another region's entries")
     {
-        routing_view view = site.view_of("r1-b0");
+        routing_view view = fixture.view_of("r1-b0");
         auto placed = std::make_shared<placement>(*view.placed);
         for (const char* service : {"s3", "s4", "s5"})
         {
@@ -202,7 +202,7 @@
         }
         view.placed = placed;
         shard_plan next(view);
-        const auto& changed = next.groups_of(site.matched_route);
+        const auto& changed = next.groups_of(fixture.matched_route);
         CHECK(shards_in(changed) == 90);
         const auto far = std::find_if(changed.begin(), changed.end(),
                                       [](const shard_plan::group& item)
@@ -216,50 +216,50 @@
     }
 }
 
-TEST_CASE("a group goes to the first of its owners that can be asked", "[plan]")
+TEST_CASE("a group is delegated to its first available owner", "[plan]")
 {
-    const plan_fixture site(90, 15, 66);
-    routing_view view = site.view_of("r1-b0");
+    const plan_fixture fixture(90, 15, 66);
+    routing_view view = fixture.view_of("r1-b0");
     group_choice choice;
     choice.configure(view);
     const time_point now{duration::from_ms(1000)};
-    const auto first = choice.groups_of(site.matched_route, now).at(0);
+    const auto first = choice.groups_of(fixture.matched_route, now).at(0);
 
-    SECTION("not to one that failed, for a while")
+    SECTION("an owner that failed is skipped during its back-off")
     {
         choice.failed(first.peer, now);
-        CHECK(choice.groups_of(site.matched_route, now).at(0).peer != first.peer);
-        CHECK(choice.groups_of(site.matched_route, now + group_choice::backoff).at(0).peer == first.peer);
+        CHECK(choice.groups_of(fixture.matched_route, now).at(0).peer != first.peer);
+        CHECK(choice.groups_of(fixture.matched_route, now + group_choice::backoff).at(0).peer == first.peer);
     }
-    SECTION("nor to one that can't be reached")
+    SECTION("an unreachable owner is skipped")
     {
         view.unreachable = std::set<instance_name>{first.peer};
         choice.configure(view);
-        CHECK(choice.groups_of(site.matched_route, now).at(0).peer != first.peer);
+        CHECK(choice.groups_of(fixture.matched_route, now).at(0).peer != first.peer);
     }
-    SECTION("after one that failed, another owner is next")
+    SECTION("another owner follows one that failed")
     {
-        const auto next = choice.next_runner(site.matched_route, first.shards.front(), first.peer, now);
+        const auto next = choice.next_runner(fixture.matched_route, first.shards.front(), first.peer, now);
         REQUIRE(next);
         CHECK(*next != first.peer);
         CHECK(next->str().rfind("r1-a", 0) == 0);
     }
-    SECTION("an owner runs its own group itself")
+    SECTION("an owner runs its own group")
     {
-        choice.configure(site.view_of(first.peer.str()));
-        const auto groups = choice.groups_of(site.matched_route, now);
+        choice.configure(fixture.view_of(first.peer.str()));
+        const auto groups = choice.groups_of(fixture.matched_route, now);
         CHECK(groups.size() == 9);
     }
 }
 
-TEST_CASE("lists of shards are planned anew only where something that matters changed", "[plan]")
+TEST_CASE("a list of shards is planned again only after relevant changes", "[plan]")
 {
     for (const int entries_per_zone : {5, 50})
     {
-        const plan_fixture site(90, entries_per_zone, 2 * slots);
-        routing_view view = site.view_of("r1-b0");
+        const plan_fixture fixture(90, entries_per_zone, 2 * slots);
+        routing_view view = fixture.view_of("r1-b0");
         shard_plan plan(view);
-        const std::vector<shard_plan::group> groups = plan.groups_of(site.matched_route);
+        const std::vector<shard_plan::group> groups = plan.groups_of(fixture.matched_route);
         REQUIRE(plan.lists_planned() == 1);
         const auto change_first = [&](auto edit)
         {
@@ -272,7 +272,7 @@
             plan.update(view);
         };
 
-        // The same view again, links that break, and a second replica in a zone that has one.
+        // The same view again, an unreachable entry, and a second replica in the same zone change nothing.
         plan.update(view);
         view.unreachable = std::set<instance_name>{groups[0].runner_candidates[0]};
         plan.update(view);
@@ -283,9 +283,9 @@
                 replicas.back().name = backend_server_name("another");
             });
         CHECK(plan.lists_planned() == 1);
-        CHECK(plan.groups_of(site.matched_route) == groups);
+        CHECK(plan.groups_of(fixture.matched_route) == groups);
 
-        // The zone loses its last replica.
+        // The zone loses its only replica.
         change_first(
             [](std::vector<backend_server>& replicas)
             {
@@ -293,30 +293,30 @@
                 replicas.back().leaving = true;
             });
         CHECK(plan.lists_planned() == 2);
-        CHECK(shard_plan(view).groups_of(site.matched_route) == plan.groups_of(site.matched_route));
+        CHECK(shard_plan(view).groups_of(fixture.matched_route) == plan.groups_of(fixture.matched_route));
 
-        // An entry goes: the plan is as one made from scratch.
+        // An entry is removed: the updated plan equals a plan made from scratch.
         std::vector<entry_peer> peers = *view.peers;
         peers.pop_back();
         view.peers = peers;
         plan.update(view);
         CHECK(plan.lists_planned() == 3);
-        CHECK(shard_plan(view).groups_of(site.matched_route) == plan.groups_of(site.matched_route));
-        for (const service_name& service : site.matched_route.fan_out)
+        CHECK(shard_plan(view).groups_of(fixture.matched_route) == plan.groups_of(fixture.matched_route));
+        for (const service_name& service : fixture.matched_route.fan_out)
         {
             CHECK(shard_plan(view).owners_of(service) == plan.owners_of(service));
         }
     }
 }
 
-TEST_CASE("routes that share a list of shards share its plan", "[plan]")
+TEST_CASE("routes with the same list of shards share a plan", "[plan]")
 {
-    const plan_fixture site(90, 5, 2 * slots);
-    routing_view view = site.view_of("r1-b0");
+    const plan_fixture fixture(90, 5, 2 * slots);
+    routing_view view = fixture.view_of("r1-b0");
     std::map<std::string, route> routes;
     for (int i = 0; i < 20; ++i)
     {
-        route item = site.matched_route;
+        route item = fixture.matched_route;
         item.name = "route-" + std::to_string(i);
         item.path_prefix = "/" + item.name + "/";
         routes.emplace(item.name, item);
