--- a/src/routing/shard_cover.cpp
+++ b/src/routing/shard_cover.cpp
@@ -39,8 +39,8 @@
 
 } // namespace
 
-std::vector<std::vector<std::size_t>> greedy_cover(std::vector<location_set> locations, std::size_t count,
-                                                   std::size_t first)
+std::vector<std::vector<std::size_t>> assign_locations(std::vector<location_set> locations, std::size_t count,
+                                                       std::size_t first)
 {
     std::vector<std::vector<std::size_t>> chosen(count);
     if (first < count)
--- a/src/routing/shard_cover.hpp
+++ b/src/routing/shard_cover.hpp
@@ -15,7 +15,7 @@
 /// @param count the number of locations
 /// @param first the preferred location; @a count or greater for none
 /// @return by location: the assigned shards
-std::vector<std::vector<std::size_t>> greedy_cover(std::vector<location_set> locations, std::size_t count,
-                                                   std::size_t first);
+std::vector<std::vector<std::size_t>> assign_locations(std::vector<location_set> locations, std::size_t count,
+                                                       std::size_t first);
 
 } // namespace flaxtiller::detail
--- a/src/routing/shard_plan_groups.cpp
+++ b/src/routing/shard_plan_groups.cpp
@@ -13,8 +13,8 @@
 namespace flaxtiller
 {
 
+using detail::assign_locations;
 using detail::contains_location;
-using detail::greedy_cover;
 using detail::single_location;
 
 namespace
@@ -118,7 +118,7 @@
         add_far_groups(list, far, groups);
         return groups;
     }
-    const auto near_cover = greedy_cover(near_zones, m_zones.size(), zone);
+    const auto near_cover = assign_locations(near_zones, m_zones.size(), zone);
     for (std::size_t at = 0; at < near_cover.size(); ++at)
     {
         add_owned_groups(matched_route, at, near_cover[at], "", groups);
@@ -127,7 +127,7 @@
     // entries keep their connections open and have latency estimates.
     const std::string region_name =
         own_region < m_regions.size() ? m_regions[own_region].name : m_region_name;
-    const auto far_cover = greedy_cover(far_zones, m_zones.size(), no_index);
+    const auto far_cover = assign_locations(far_zones, m_zones.size(), no_index);
     for (std::size_t at = 0; at < far_cover.size(); ++at)
     {
         add_owned_groups(matched_route, at, far_cover[at], region_name + '/', groups);
@@ -145,7 +145,7 @@
     {
         regions[shard] = regions_of(list.zones[shard]);
     }
-    const auto by_region = greedy_cover(regions, m_regions.size(), no_index);
+    const auto by_region = assign_locations(regions, m_regions.size(), no_index);
     for (std::size_t at = 0; at < by_region.size(); ++at)
     {
         if (by_region[at].size() >= min_group_size && !m_regions[at].entries.empty())
--- a/tests/src/router_driver.hpp
+++ b/tests/src/router_driver.hpp
@@ -42,7 +42,7 @@
     {
     }
 
-    void configure(std::map<std::string, route> routes, int services, int replicas = 2)
+    void set_view(std::map<std::string, route> routes, int services, int replicas = 2)
     {
         auto placed = std::make_shared<placement>();
         placed->revision = ++m_revision;
--- a/tests/src/unit-quarantine.cpp
+++ b/tests/src/unit-quarantine.cpp
@@ -199,7 +199,7 @@
 TEST_CASE("a request that crashes backend servers is held back, tried and quarantined", "[quarantine]")
 {
     router_driver driver;
-    driver.configure({{"all", fan_out_over(6, 0.5)}, {"one", single(true)}}, 6);
+    driver.set_view({{"all", fan_out_over(6, 0.5)}, {"one", single(true)}}, 6);
     const request_number first = driver.submit("/all/x");
     const request_fingerprint fingerprint = fingerprint_of_target("/all/x");
     REQUIRE(driver.started.size() == 6);
@@ -324,7 +324,7 @@
 TEST_CASE("a request that is suspect when it comes is tried before it is run", "[quarantine]")
 {
     router_driver driver;
-    driver.configure({{"all", fan_out_over(4, 1.0)}, {"one", single(true)}}, 4);
+    driver.set_view({{"all", fan_out_over(4, 1.0)}, {"one", single(true)}}, 4);
     driver.receive_crash_records(
         {suspect_record(fingerprint_of_target("/all/x")), suspect_record(fingerprint_of_target("/all/y"))});
     const request_number first = driver.submit("/all/x");
@@ -357,7 +357,7 @@
     }
     SECTION("also where its services are withdrawn meanwhile")
     {
-        driver.configure({{"one", single(true)}}, 1);
+        driver.set_view({{"one", single(true)}}, 1);
         driver.crash_server("s0");
         driver.disconnect_caller(second);
         driver.advance(501);
@@ -375,7 +375,7 @@
 TEST_CASE("an entry that runs shards for another one tells it of the crashes", "[quarantine]")
 {
     router_driver driver;
-    driver.configure({{"all", fan_out_over(4, 0.5)}}, 4);
+    driver.set_view({{"all", fan_out_over(4, 0.5)}}, 4);
     const request_fingerprint fingerprint = fingerprint_of_target("/all/x");
 
     SECTION("as it refuses what is quarantined")
@@ -406,7 +406,7 @@
     driver.near_services = 2;
     driver.peers = {{instance_name("far-1"), "far", "far-zone", "a:1"},
                     {instance_name("far-2"), "far", "far-zone", "a:2"}};
-    driver.configure({{"all", fan_out_over(6, 0.9)}}, 6);
+    driver.set_view({{"all", fan_out_over(6, 0.9)}}, 6);
     driver.submit("/all/x");
     REQUIRE(driver.delegations.size() == 1);
 
--- a/tests/src/unit-router.cpp
+++ b/tests/src/unit-router.cpp
@@ -6,7 +6,7 @@
 TEST_CASE("a fan-out is answered by its coverage and the latency objective", "[router]")
 {
     router_driver driver;
-    driver.configure({{"all", fan_out_over(4, 0.75)}}, 4);
+    driver.set_view({{"all", fan_out_over(4, 0.75)}}, 4);
     const request_number asked = driver.submit("/all/x");
     REQUIRE(driver.started.size() == 4);
 
@@ -62,7 +62,7 @@
     SECTION("by its own shard map if a new shard map is configured meanwhile")
     {
         driver.end_attempt("s0", attempt_status::answered);
-        driver.configure({{"all", fan_out_over(2, 0.75)}}, 2);
+        driver.set_view({{"all", fan_out_over(2, 0.75)}}, 2);
         driver.end_attempt("s1", attempt_status::answered);
         driver.end_attempt("s2", attempt_status::answered);
         driver.end_attempt("s3", attempt_status::answered);
@@ -73,7 +73,7 @@
 TEST_CASE("a fan-out that can't reach its least share fails at once", "[router]")
 {
     router_driver driver;
-    driver.configure({{"all", fan_out_over(4, 0.75)}}, 4, 0);
+    driver.set_view({{"all", fan_out_over(4, 0.75)}}, 4, 0);
     SECTION("it is refused, as nothing was run, if there is no backend server at all")
     {
         const request_number asked = driver.submit("/all/x");
@@ -85,7 +85,7 @@
 TEST_CASE("a fan-out of which too many shards have no backend server is refused at once", "[router]")
 {
     router_driver driver;
-    driver.configure({{"all", fan_out_over(4, 0.75)}}, 3);
+    driver.set_view({{"all", fan_out_over(4, 0.75)}}, 3);
 
     SECTION("it is run if one shard is missing, which the least share allows")
     {
@@ -95,7 +95,7 @@
     }
     SECTION("it is refused with a retry delay if two shards are missing")
     {
-        driver.configure({{"all", fan_out_over(4, 0.75)}}, 2);
+        driver.set_view({{"all", fan_out_over(4, 0.75)}}, 2);
         const request_number number = driver.submit("/all/x");
         CHECK(driver.started.empty());
         REQUIRE(driver.answers.count(number) == 1);
@@ -113,7 +113,7 @@
     single.name = "one";
     single.path_prefix = "/one/";
     single.targets = {{service_name("s0"), 1}};
-    driver.configure({{"all", fan_out_over(4, 0.5)}, {"one", single}}, 4);
+    driver.set_view({{"all", fan_out_over(4, 0.5)}, {"one", single}}, 4);
     const request_number enough = driver.submit("/all/x");
     for (const char* service : {"s0", "s1"})
     {
@@ -135,7 +135,7 @@
     SECTION("goes to a backend server in the own region while that one has free slots")
     {
         driver.last_replica_zone = "near-zone";
-        driver.configure({{"one", single(true)}}, 1, 3);
+        driver.set_view({{"one", single(true)}}, 1, 3);
         for (int i = 0; i < 2; ++i)
         {
             driver.submit("/one/x");
@@ -148,7 +148,7 @@
 
     SECTION("is answered with the backend server's answer, unchanged")
     {
-        driver.configure({{"one", single(true)}}, 1);
+        driver.set_view({{"one", single(true)}}, 1);
         const request_number asked = driver.submit("/one/x");
         driver.end_attempt("s0", attempt_status::answered);
         CHECK(driver.answers.at(asked).end == routed_end::passed_on);
@@ -156,12 +156,12 @@
     }
     SECTION("is answered with no_route if no route matches")
     {
-        driver.configure({{"one", single(true)}}, 1);
+        driver.set_view({{"one", single(true)}}, 1);
         CHECK(driver.answers.at(driver.submit("/two/x")).end == routed_end::no_route);
     }
     SECTION("fails without a second attempt if it is not repeatable and the answer is lost")
     {
-        driver.configure({{"one", single(false)}}, 1);
+        driver.set_view({{"one", single(false)}}, 1);
         const request_number asked = driver.submit("/one/x");
         driver.end_attempt("s0", attempt_status::cut);
         CHECK(driver.started.empty());
@@ -169,7 +169,7 @@
     }
     SECTION("is sent to another backend server after a refusal even if it is not repeatable")
     {
-        driver.configure({{"one", single(false)}}, 1);
+        driver.set_view({{"one", single(false)}}, 1);
         const request_number asked = driver.submit("/one/x");
         driver.end_attempt("s0", attempt_status::shed);
         REQUIRE(driver.started.size() == 1);
@@ -178,7 +178,7 @@
     }
     SECTION("is answered with the backend server's error answer if there is no better answer")
     {
-        driver.configure({{"one", single(false)}}, 1);
+        driver.set_view({{"one", single(false)}}, 1);
         const request_number asked = driver.submit("/one/x");
         driver.end_attempt("s0", attempt_status::cut, 500);
         CHECK(driver.answers.at(asked).end == routed_end::passed_on);
@@ -186,7 +186,7 @@
     }
     SECTION("is sent to no more backend servers than the route allows")
     {
-        driver.configure({{"one", single(true)}}, 1, 5);
+        driver.set_view({{"one", single(true)}}, 1, 5);
         const request_number asked = driver.submit("/one/x");
         driver.end_attempt("s0", attempt_status::cut);
         REQUIRE(driver.started.size() == 1);
@@ -202,7 +202,7 @@
     router_driver driver;
     route split = single(true);
     split.targets = {{service_name("s0"), 3}, {service_name("s1"), 1}};
-    driver.configure({{"one", split}}, 1);
+    driver.set_view({{"one", split}}, 1);
     int refused = 0;
     for (int i = 0; i < 40; ++i)
     {
@@ -224,7 +224,7 @@
     router_driver driver;
     driver.peers = {{instance_name("f1"), "far", "far-zone", ""},
                     {instance_name("f2"), "far", "far-zone", ""}};
-    driver.configure({{"all", fan_out_over(4, 0.75)}, {"one", single(true)}}, 4);
+    driver.set_view({{"all", fan_out_over(4, 0.75)}, {"one", single(true)}}, 4);
 
     SECTION("is delegated to the entries of that region in turn, and their result is the answer")
     {
@@ -242,7 +242,7 @@
     SECTION("is delegated in part if some shards are near; the results are merged")
     {
         driver.near_services = 2;
-        driver.configure({{"all", fan_out_over(4, 0.75)}}, 4);
+        driver.set_view({{"all", fan_out_over(4, 0.75)}}, 4);
         const request_number first = driver.submit("/all/x");
         REQUIRE(driver.started.size() == 2);
         REQUIRE(driver.delegations.size() == 1);
@@ -259,7 +259,7 @@
     SECTION("is run directly if only one shard is in the other region")
     {
         driver.near_services = 3;
-        driver.configure({{"all", fan_out_over(4, 0.75)}}, 4);
+        driver.set_view({{"all", fan_out_over(4, 0.75)}}, 4);
         driver.submit("/all/x");
         CHECK(driver.delegations.empty());
         CHECK(driver.started.size() == 4);
@@ -423,7 +423,7 @@
     }
     SECTION("runs a repeated delegation only on the designated backend servers")
     {
-        driver.configure({{"all", fan_out_over(4, 0.75)}}, 4, 3);
+        driver.set_view({{"all", fan_out_over(4, 0.75)}}, 4, 3);
         driver.designated = {"s1-1", "s2-2"};
         driver.submit_delegated("/all/x", true, true);
         REQUIRE(driver.started.size() == 2);
@@ -439,12 +439,12 @@
         "designates the backend servers nearest to the other entry if there are more replicas than attempts")
     {
         CHECK(driver.delegations.empty());
-        driver.configure({{"all", fan_out_over(4, 0.75)}}, 4, 3);
+        driver.set_view({{"all", fan_out_over(4, 0.75)}}, 4, 3);
         driver.submit("/all/x");
         REQUIRE(driver.delegations.size() == 1);
         CHECK(driver.delegations[0].designated.size() == 4);
         CHECK(driver.delegations[0].designated.at(1).str() == "s1-0");
-        driver.configure({{"all", fan_out_over(4, 0.75)}}, 4, 2);
+        driver.set_view({{"all", fan_out_over(4, 0.75)}}, 4, 2);
         driver.submit("/all/x");
         CHECK(driver.delegations.at(1).designated.empty());
     }
@@ -452,7 +452,7 @@
     {
         driver.advance(4000);
         driver.submit("/all/x");
-        driver.configure({{"all", fan_out_over(2, 0.75)}}, 4);
+        driver.set_view({{"all", fan_out_over(2, 0.75)}}, 4);
         driver.receive_final_outcome(driver.delegations.at(0), routed_end::refused);
         for (const start_routed_attempt& item : driver.started)
         {
@@ -474,7 +474,7 @@
 TEST_CASE("a fan-out without any answer starts second attempts for few parts only", "[router]")
 {
     router_driver driver;
-    driver.configure({{"all", fan_out_over(6, 0.75)}}, 6);
+    driver.set_view({{"all", fan_out_over(6, 0.75)}}, 6);
     // The retry budget accrues.
     driver.advance(10000);
     driver.submit("/all/slow");
@@ -489,12 +489,12 @@
 TEST_CASE("a queued request remains valid after its service is removed", "[router]")
 {
     router_driver driver;
-    driver.configure({{"one", single(true)}}, 1, 1);
+    driver.set_view({{"one", single(true)}}, 1, 1);
     const request_number asked = driver.submit("/one/x");
     driver.end_attempt("s0", attempt_status::shed);
     REQUIRE(driver.started.empty());
     REQUIRE(driver.answers.empty());
-    driver.configure({}, 0);
+    driver.set_view({}, 0);
     driver.disconnect_caller(asked);
     driver.advance(600);
     CHECK(driver.answers.empty());
@@ -506,7 +506,7 @@
     driver.near_services = 2;
     driver.peers = {{instance_name("f1"), "far", "far-zone", ""},
                     {instance_name("f2"), "far", "far-zone", ""}};
-    driver.configure({{"all", fan_out_over(4, 0.75)}}, 4);
+    driver.set_view({{"all", fan_out_over(4, 0.75)}}, 4);
     const request_number asked = driver.submit("/all/x");
     REQUIRE(driver.delegations.size() == 1);
 
@@ -544,7 +544,7 @@
 TEST_CASE("a delegated request that is no longer awaited gets no further attempt", "[router]")
 {
     router_driver driver;
-    driver.configure({{"all", fan_out_over(4, 0.5)}}, 4);
+    driver.set_view({{"all", fan_out_over(4, 0.5)}}, 4);
     const request_number number = driver.submit_delegated("/all/x", true);
     REQUIRE(driver.started.size() == 2);
     driver.no_longer_awaited(number);
@@ -594,7 +594,7 @@
 TEST_CASE("ended attempts leave no timer behind", "[router]")
 {
     router_driver driver;
-    driver.configure({{"all", fan_out_over(4, 0.5)}}, 4);
+    driver.set_view({{"all", fan_out_over(4, 0.5)}}, 4);
     const request_number number = driver.submit("/all/x");
     for (const char* service : {"s0", "s1", "s2", "s3"})
     {
