--- a/tests/src/unit-allowed-regions.cpp
+++ b/tests/src/unit-allowed-regions.cpp
@@ -521,7 +521,7 @@
     CHECK_FALSE(none.allows("east"));
     CHECK_FALSE(only({"east"}).allows(""));
 
-    SECTION("the intersection of two sets allows event both allow")
+    SECTION("the intersection of two sets allows the regions in both")
     {
         CHECK(any.both(any).is_any());
         CHECK(any.both(only({"east"})) == only({"east"}));
