--- a/include/flaxtiller/routing/caller_admission.hpp
+++ b/include/flaxtiller/routing/caller_admission.hpp
@@ -59,7 +59,7 @@
     /// @brief The caller closed its connection; its request is dropped if it still awaits a decision.
     void caller_gone(request_number number);
 
-    /// @brief A sign of life of the rate limit coordinator was received.
+    /// @brief The rate limit coordinator is known to be running, by other messages than its replies.
     void on_keeper_heard(time_point now) noexcept
     {
         m_limiter.on_keeper_heard(now);
@@ -99,7 +99,8 @@
     void admit(request_number number, routed_request request);
     void reject(request_number number, routed_end end, const std::string& route,
                 std::optional<rate_limiter::decision> over_limit = std::nullopt);
-    void apply(const rate_limiter::decision& made, routed_request request, const std::string& route);
+    void apply(const rate_limiter::decision& limiter_decision, routed_request request,
+               const std::string& route);
 
     struct held_request
     {
--- a/include/flaxtiller/routing/group_choice.hpp
+++ b/include/flaxtiller/routing/group_choice.hpp
@@ -55,7 +55,7 @@
 
   private:
     bool is_available(const instance_name& peer, time_point now) const;
-    std::optional<instance_name> first_of(const shard_plan::group& item, time_point now);
+    std::optional<instance_name> first_available(const shard_plan::group& item, time_point now);
 
     instance_name m_self;
     shared_value<std::set<instance_name>> m_unreachable;
--- a/include/flaxtiller/routing/router.hpp
+++ b/include/flaxtiller/routing/router.hpp
@@ -301,7 +301,7 @@
     static void describe(const open_request& opened, routed_outcome& outcome);
     void send_progress(request_number number, open_request& opened, time_point now);
     duration round_trip_to(const instance_name& peer) const;
-    void record_round_trip(const instance_name& peer, duration way);
+    void record_round_trip(const instance_name& peer, duration round_trip);
     bool group_has_retry_budget(const open_request& opened, const group& target_group) const;
     bool fits_attempt_limit(const open_request& opened) const;
     backend_server_name designated_of(const open_request& opened, const service_name& service,
--- a/include/flaxtiller/routing/router_action.hpp
+++ b/include/flaxtiller/routing/router_action.hpp
@@ -69,7 +69,8 @@
     std::vector<backend_server_name> designated;
     /// The time left until this instance stops waiting.
     duration patience{};
-    /// The time after which the peer sends its partial outcome, the objective being near.
+    /// The time after which the peer sends a further partial outcome, which arrives before the objective
+    /// passes.
     duration answer_within{};
     /// The time after which the peer sends its first partial outcome; without one the peer counts as failed.
     duration progress_within{};
--- a/src/routing/caller_admission.cpp
+++ b/src/routing/caller_admission.cpp
@@ -71,24 +71,24 @@
         admit(number, std::move(request));
         return;
     }
-    const rate_limiter::decision made = m_limiter.admit(number, *caller.by, now);
-    if (made.what == rate_limiter::verdict::asked)
+    const rate_limiter::decision limiter_decision = m_limiter.admit(number, *caller.by, now);
+    if (limiter_decision.what == rate_limiter::verdict::asked)
     {
         m_held.emplace(number, held_request{std::move(request), route, now});
         return;
     }
-    apply(made, std::move(request), route);
+    apply(limiter_decision, std::move(request), route);
 }
 
-void caller_admission::apply(const rate_limiter::decision& made, routed_request request,
+void caller_admission::apply(const rate_limiter::decision& limiter_decision, routed_request request,
                              const std::string& route)
 {
-    if (made.what == rate_limiter::verdict::admitted)
+    if (limiter_decision.what == rate_limiter::verdict::admitted)
     {
-        admit(made.request, std::move(request));
+        admit(limiter_decision.request, std::move(request));
         return;
     }
-    reject(made.request, routed_end::over_limit, route, made);
+    reject(limiter_decision.request, routed_end::over_limit, route, limiter_decision);
 }
 
 void caller_admission::caller_gone(request_number number)
@@ -111,9 +111,9 @@
 
 std::vector<admission_action> caller_admission::take_actions(time_point now)
 {
-    for (const rate_limiter::decision& made : m_limiter.take_decisions())
+    for (const rate_limiter::decision& limiter_decision : m_limiter.take_decisions())
     {
-        const auto found = m_held.find(made.request);
+        const auto found = m_held.find(limiter_decision.request);
         if (found == m_held.end())
         {
             continue;
@@ -122,7 +122,7 @@
         m_held.erase(found);
         // The time spent waiting for the decision counts against the caller's time-out.
         held.request.patience = std::max(held.request.patience - (now - held.since), duration{});
-        apply(made, std::move(held.request), held.route);
+        apply(limiter_decision, std::move(held.request), held.route);
     }
     if (auto report = m_limiter.take_report(now))
     {
--- a/src/routing/group_choice.cpp
+++ b/src/routing/group_choice.cpp
@@ -27,7 +27,7 @@
            (passed_over == m_backoffs.end() || passed_over->second.until <= now);
 }
 
-std::optional<instance_name> group_choice::first_of(const shard_plan::group& item, time_point now)
+std::optional<instance_name> group_choice::first_available(const shard_plan::group& item, time_point now)
 {
     const std::size_t from = item.is_round_robin ? m_next_start++ : 0;
     for (std::size_t i = 0; i < item.runner_candidates.size(); ++i)
@@ -46,7 +46,7 @@
     std::vector<group> groups;
     for (const shard_plan::group& item : m_plan.groups_of(matched_route))
     {
-        const auto peer = first_of(item, now);
+        const auto peer = first_available(item, now);
         if (peer && *peer != m_self)
         {
             groups.push_back({*peer, item.shards});
--- a/src/routing/router_admission.cpp
+++ b/src/routing/router_admission.cpp
@@ -35,7 +35,7 @@
 bool router::refuse_unservable(request_number number, const route& matched_route,
                                const std::shared_ptr<const region_set>& regions, time_point now)
 {
-    std::vector<duration> returns;
+    std::vector<duration> retry_delays;
     missing_reason reason = missing_reason::no_backend_server;
     for (const service_name& service : matched_route.fan_out)
     {
@@ -46,20 +46,21 @@
                                            : scheduler->why_unavailable(0, regions, now, retry_after);
         if (blocked != missing_reason::none)
         {
-            returns.push_back(retry_after);
+            retry_delays.push_back(retry_after);
             reason = blocked;
         }
     }
     const auto all = static_cast<double>(matched_route.fan_out.size());
     const double needed = matched_route.least_share * all;
-    if (all - static_cast<double>(returns.size()) >= needed && returns.size() < matched_route.fan_out.size())
+    if (all - static_cast<double>(retry_delays.size()) >= needed &&
+        retry_delays.size() < matched_route.fan_out.size())
     {
         return false;
     }
     // The request can be served once enough of the shards are available again.
-    std::sort(returns.begin(), returns.end());
-    const auto may_miss = std::min(static_cast<std::size_t>(all - needed), returns.size() - 1);
-    refuse(number, &matched_route, reason, returns[returns.size() - 1 - may_miss]);
+    std::sort(retry_delays.begin(), retry_delays.end());
+    const auto allowed_missing = std::min(static_cast<std::size_t>(all - needed), retry_delays.size() - 1);
+    refuse(number, &matched_route, reason, retry_delays[retry_delays.size() - 1 - allowed_missing]);
     return true;
 }
 
--- a/src/routing/router_delegation.cpp
+++ b/src/routing/router_delegation.cpp
@@ -39,8 +39,8 @@
     sent.peer = peer;
     sent.list = opened.list;
     sent.patience = opened.deadline - now;
-    const duration way = round_trip_to(peer);
-    sent.answer_within = std::max(opened.answer_at - now - way, duration::from_ms(1));
+    const duration round_trip = round_trip_to(peer);
+    sent.answer_within = std::max(opened.answer_at - now - round_trip, duration::from_ms(1));
     sent.progress_within = sent.answer_within * m_options.progress_share;
     sent.again = again;
     sent.regions = opened.matched_route->allowed_regions;
@@ -58,7 +58,7 @@
         }
     }
     sent.designated = target_group.designated;
-    const time_point progress_due = now + sent.progress_within + way + m_options.progress_grace;
+    const time_point progress_due = now + sent.progress_within + round_trip + m_options.progress_grace;
     opened.group_check_at = std::min(opened.group_check_at, progress_due);
     m_delegations.emplace(sent.number, number);
     delegation& sent_delegation = target_group.delegations.emplace_back();
@@ -81,7 +81,7 @@
                                         : m_options.initial_round_trip_far;
 }
 
-void router::record_round_trip(const instance_name& peer, duration way)
+void router::record_round_trip(const instance_name& peer, duration round_trip)
 {
     // The average adapts within a few answers, and a single delayed answer has little influence.
     constexpr double weight = 0.2;
@@ -90,8 +90,8 @@
     {
         return;
     }
-    const auto known = m_round_trips.emplace(listed->second.region, way).first;
-    known->second = known->second + (way - known->second) * weight;
+    const auto known = m_round_trips.emplace(listed->second.region, round_trip).first;
+    known->second = known->second + (round_trip - known->second) * weight;
 }
 
 // ---------------------------------------------------------------------------------------------------------
@@ -260,8 +260,8 @@
     }
 }
 
-/// Handles a group whose last delegation can't succeed any more: parts that were received are kept; without
-/// any the group is reassigned.
+/// Handles a group whose last delegation has failed. Received parts are kept; a group without any is
+/// reassigned.
 void router::replace_delegation(request_number number, group& delegated_group, bool again, time_point now)
 {
     if (delegated_group.outcome.signatures.empty() && reassign_group(number, delegated_group, again, now))
