--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -7,7 +7,7 @@
 #include <flaxtiller/catalog/placement.hpp>
 #include <flaxtiller/dispatch/scheduler.hpp>
 #include <flaxtiller/quorum/posix_file_system.hpp>
-#include <flaxtiller/quorum/replicated_machine.hpp>
+#include <flaxtiller/quorum/replicated_state_machine.hpp>
 #include <flaxtiller/register/register_state.hpp>
 
 #include <fmt/format.h>
@@ -193,7 +193,7 @@
 
 void measure_log(int changes)
 {
-    using machine = quorum::replicated_machine<catalog_state, quorum::posix_file_system>;
+    using machine = quorum::replicated_state_machine<catalog_state, quorum::posix_file_system>;
     const std::string folder = std::filesystem::temp_directory_path() / "flaxtiller-scale-bench";
     std::filesystem::remove_all(folder);
     std::filesystem::create_directories(folder);
--- a/include/flaxtiller/quorum/log_store.hpp
+++ b/include/flaxtiller/quorum/log_store.hpp
@@ -181,7 +181,7 @@
                 warning = "cut off a torn record at byte " + std::to_string(offset);
                 break;
             }
-            if (next.state == record_state::corrupt || !take(next))
+            if (next.state == record_state::corrupt || !apply_record(next))
             {
                 return errc::storage_corrupt;
             }
@@ -191,7 +191,7 @@
         return identified ? std::error_code{} : make_error_code(errc::storage_corrupt);
     }
 
-    bool take(const record& next)
+    bool apply_record(const record& next)
     {
         const std::string payload(next.payload);
         try
--- a/include/flaxtiller/quorum/member_keeper.hpp
+++ b/include/flaxtiller/quorum/membership_planner.hpp
@@ -14,7 +14,7 @@
 struct announcement
 {
     incarnation_id incarnation = 0;
-    time_point heard_at{};
+    time_point last_contact{};
 
     bool operator==(const announcement&) const = default;
 };
@@ -29,7 +29,7 @@
         remove,
     };
 
-    kind what = kind::add;
+    kind operation = kind::add;
     replica_name name;
     incarnation_id incarnation = 0;
 
@@ -42,7 +42,7 @@
 ///
 /// A lost voter stays as long as nobody can replace it, since it may come back, unless the voters are an even
 /// number: then the set bears as many losses without it.
-class member_keeper
+class membership_planner
 {
   public:
     struct options
@@ -50,12 +50,12 @@
         /// A voter silent for this long may be replaced; a restart takes less.
         duration lost_after = duration::from_ms(3000);
         /// An announcement counts for this long.
-        duration announcement_age = duration::from_ms(2000);
+        duration max_announcement_age = duration::from_ms(2000);
 
         bool operator==(const options&) const = default;
     };
 
-    explicit member_keeper(options limits) : m_options(limits)
+    explicit membership_planner(options limits) : m_options(limits)
     {
     }
 
--- a/include/flaxtiller/quorum/message.hpp
+++ b/include/flaxtiller/quorum/message.hpp
@@ -15,7 +15,7 @@
 /// @brief Asks for a vote; with @ref trial set it only asks whether one would be given (pre-vote).
 struct vote_request
 {
-    bool trial = false;
+    bool pre_vote = false;
     log_index last_index = 0;
     term_number last_term = 0;
 
@@ -25,7 +25,7 @@
 /// @brief Answers a @ref vote_request.
 struct vote_reply
 {
-    bool trial = false;
+    bool pre_vote = false;
     bool granted = false;
 
     bool operator==(const vote_reply&) const = default;
@@ -68,7 +68,7 @@
 struct leadership_query
 {
     /// Identifies the asker's present life; echoed.
-    std::uint64_t life = 0;
+    std::uint64_t replica_run = 0;
 
     bool operator==(const leadership_query&) const = default;
 };
@@ -76,7 +76,7 @@
 /// @brief Answers a @ref leadership_query.
 struct leadership_reply
 {
-    std::uint64_t life = 0;
+    std::uint64_t replica_run = 0;
     bool leads = false;
     /// The newest members in the log of the replica that answers, committed or not.
     member_set members;
--- a/include/flaxtiller/quorum/restart_hold.hpp
+++ b/include/flaxtiller/quorum/previous_lease_check.hpp
@@ -21,28 +21,28 @@
 /// A voter that came back without its disk tells by its answer that the earlier one is gone, but its empty
 /// log proves nothing about members. One that is silent, cut off or frozen may be the leader: then the wait
 /// lasts.
-class restart_hold
+class previous_lease_check
 {
   public:
     /// @param life identifies the replica's present life to those that answer
-    explicit restart_hold(std::uint64_t life) noexcept;
+    explicit previous_lease_check(std::uint64_t replica_run) noexcept;
 
     /// @return what identifies this life
-    std::uint64_t life() const noexcept;
+    std::uint64_t replica_run() const noexcept;
 
     /// @return whether the voter still has to say that it doesn't lead
-    bool awaits(const replica_name& voter) const;
+    bool awaits_reply_from(const replica_name& voter) const;
 
     /// @brief Takes in an answer; one to an earlier life is ignored, and one that leads voids the others.
     /// @param members the newest members in this replica's log
-    void take(const replica_name& from, incarnation_id incarnation, const leadership_reply& reply,
+    void record_reply(const replica_name& from, incarnation_id incarnation, const leadership_reply& reply,
               const member_set& members);
 
     /// @return whether no lease can be in force that this replica's earlier life is part of
-    bool is_ruled_out(const replica_name& self, const member_set& members) const;
+    bool rules_out_lease(const replica_name& self, const member_set& members) const;
 
   private:
-    std::uint64_t m_life;
+    std::uint64_t m_replica_run;
     /// Voters that don't lead.
     std::set<replica_name> m_not_leading;
     /// Those of them whose log holds the same members.
--- a/include/flaxtiller/quorum/progress.hpp
+++ b/include/flaxtiller/quorum/progress.hpp
@@ -14,7 +14,7 @@
     /// When the newest acknowledged message was sent; the lease counts from there.
     time_point acknowledged_sent_at{};
     /// When it was last heard from at all.
-    time_point heard_at{};
+    time_point last_contact{};
     time_point snapshot_sent_at{};
     bool snapshot_pending = false;
 };
--- a/include/flaxtiller/quorum/record_codec.hpp
+++ b/include/flaxtiller/quorum/record_codec.hpp
@@ -20,7 +20,7 @@
 /// @brief What stands at a place of a log file.
 enum class record_state
 {
-    whole,
+    intact_record,
     /// The file ends within the record: it was being written when the process or machine stopped.
     torn,
     /// The record is there in full length but its checksum differs.
--- a/include/flaxtiller/quorum/replica.hpp
+++ b/include/flaxtiller/quorum/replica.hpp
@@ -6,7 +6,7 @@
 #include <flaxtiller/quorum/persisted_state.hpp>
 #include <flaxtiller/quorum/progress.hpp>
 #include <flaxtiller/quorum/replicated_log.hpp>
-#include <flaxtiller/quorum/restart_hold.hpp>
+#include <flaxtiller/quorum/previous_lease_check.hpp>
 #include <flaxtiller/quorum/timing.hpp>
 
 #include <map>
@@ -78,7 +78,7 @@
     bool has_lease(time_point now) const;
 
     /// @return whether it gives no vote yet, since its earlier life may be part of a lease
-    bool awaits_earlier_lease() const noexcept;
+    bool awaits_previous_lease_end() const noexcept;
 
     /// @return whether it leads and an entry of its own term is committed
     bool is_ready_leader() const noexcept;
@@ -97,14 +97,14 @@
     /// @return what it knows of the other members, if it leads
     const std::map<replica_name, progress>& others() const noexcept;
     /// @return incarnations that spoke but aren't members, by name: replaced or wiped replicas
-    const std::map<replica_name, incarnation_id>& strangers() const noexcept;
+    const std::map<replica_name, incarnation_id>& non_members() const noexcept;
     /// @return when it next needs @ref tick
     time_point next_tick() const noexcept;
 
   private:
     void become_follower(term_number term, const replica_name& leader, time_point now);
     void become_leader(time_point now);
-    void start_election(bool trial, time_point now);
+    void start_election(bool pre_vote, time_point now);
     void count_vote(const replica_name& voter, time_point now);
     void reset_election_deadline(time_point now);
 
@@ -114,17 +114,17 @@
     void on_append_reply(const message& received, const append_reply& body, time_point now);
     void on_install_request(const message& received, const install_request& body, time_point now);
 
-    bool heard_leader_recently(time_point now) const;
-    void note_leader(time_point now);
+    bool has_recent_leader_contact(time_point now) const;
+    void record_leader_contact(time_point now);
     void query_leadership(time_point now);
     duration early_election_delay();
     void on_leadership_query(const message& received, const leadership_query& body);
     void on_leadership_reply(const message& received, const leadership_reply& body, time_point now);
     bool is_superseded(const message& received) const;
     bool is_up_to_date(const vote_request& body) const;
-    void note_commit(log_index leader_commit);
-    void take_entries(const append_request& body);
-    void append_own(log_entry entry);
+    void record_known_commit(log_index leader_commit);
+    void append_received(const append_request& body);
+    void append_new_entry(log_entry entry);
     void advance_commit();
     void emit_committed(log_index up_to);
     void replicate_to(const member& to, time_point now);
@@ -152,14 +152,14 @@
 
     std::set<replica_name> m_votes;
     std::map<replica_name, progress> m_progress;
-    std::map<replica_name, incarnation_id> m_strangers;
+    std::map<replica_name, incarnation_id> m_non_members;
 
     /// Set from the start until a leader was heard, or an earlier life's lease is ruled out or over.
-    std::optional<restart_hold> m_hold;
+    std::optional<previous_lease_check> m_previous_lease_check;
     time_point m_query_due{};
     /// Until then an election that failed is tried again soon.
-    time_point m_stands_early_until{};
-    time_point m_leader_heard_at{};
+    time_point m_early_election_until{};
+    time_point m_last_leader_contact{};
     time_point m_election_deadline{};
     time_point m_heartbeat_due{};
     output m_output;
--- a/include/flaxtiller/quorum/replicated_machine.hpp
+++ b/include/flaxtiller/quorum/replicated_state_machine.hpp
@@ -29,7 +29,7 @@
 ///
 /// Not thread-safe: feed it from one strand. Several commands proposed before @ref pump share one sync.
 template <replicated_state State, file_system FileSystem>
-class replicated_machine
+class replicated_state_machine
 {
   public:
     /// Told the result of a command, or why there is none.
@@ -42,7 +42,7 @@
     /// small enough that the old and the new file fit on a disk of 64 MB.
     static constexpr std::uint64_t compact_after_bytes = std::uint64_t{8} << 20U;
 
-    replicated_machine(FileSystem& files, std::string folder, replica_name name, timing limits)
+    replicated_state_machine(FileSystem& files, std::string folder, replica_name name, timing limits)
         : m_files(files), m_folder(std::move(folder)), m_name(std::move(name)), m_timing(limits)
     {
     }
@@ -148,8 +148,8 @@
             send_all(wanted.send_after_sync, send);
             apply(wanted);
         }
-        fail_orphans();
-        compact_if_long(now);
+        fail_pending_commands();
+        compact_if_needed(now);
     }
 
     /// @return the replica, or nothing while its storage fails
@@ -170,7 +170,7 @@
     }
 
     /// @return whether the state is the present one and no other replica can lead
-    bool may_answer(time_point now) const
+    bool is_authoritative(time_point now) const
     {
         return m_replica && m_replica->has_lease(now) && m_applied == m_replica->commit_index();
     }
@@ -230,7 +230,7 @@
         m_storage_error = errc::storage_failed;
         m_replica.reset();
         m_reopen_at = now + reopen_after;
-        fail_orphans();
+        fail_pending_commands();
     }
 
     void send_all(const std::vector<message>& messages, const sender& send)
@@ -269,7 +269,7 @@
     }
 
     /// Commands of a term in which this replica no longer leads may or may not be committed by another.
-    void fail_orphans()
+    void fail_pending_commands()
     {
         if (m_replica && m_replica->role() == role::leader)
         {
@@ -281,7 +281,7 @@
         }
     }
 
-    void compact_if_long(time_point now)
+    void compact_if_needed(time_point now)
     {
         if (!m_replica || m_applied <= m_replica->log().base().last_index)
         {
--- a/include/flaxtiller/quorum/timing.hpp
+++ b/include/flaxtiller/quorum/timing.hpp
@@ -14,7 +14,7 @@
     duration election_max = duration::from_ms(1000);
     /// A replica that restarted asks the others this often whether they lead: a few round trips between
     /// regions.
-    duration query_every = duration::from_ms(50);
+    duration leadership_query_interval = duration::from_ms(50);
     /// Once no earlier lease can be in force, restarted replicas stand for election within this time, one
     /// after the other, so that one of them is elected before the next one stands: for each voter the time of
     /// two round trips between regions, and of the work.
--- a/src/control/control_decisions.cpp
+++ b/src/control/control_decisions.cpp
@@ -147,12 +147,12 @@
 void control_process::implementation::note_changes()
 {
     quorum::replica* node = catalog.node();
-    if (node != nullptr && awaits_lease && !node->awaits_earlier_lease())
+    if (node != nullptr && awaits_lease && !node->awaits_previous_lease_end())
     {
         log(log_level::info, "earlier_lease_over",
             {{"after_ms", (clock.now() - started_at).ms()}, {"leader", node->leader().str()}});
     }
-    awaits_lease = node != nullptr && node->awaits_earlier_lease();
+    awaits_lease = node != nullptr && node->awaits_previous_lease_end();
     const bool leaderless = node != nullptr && node->leader().empty();
     leaderless_since = leaderless ? std::min(leaderless_since, clock.now()) : time_point::never();
     const bool leads = node != nullptr && node->is_ready_leader();
@@ -222,7 +222,7 @@
 
 void control_process::implementation::confirm_to_entries(time_point now)
 {
-    const bool answers = catalog.may_answer(now);
+    const bool answers = catalog.is_authoritative(now);
     if (answers != answered)
     {
         const quorum::replica* node = catalog.node();
@@ -307,12 +307,12 @@
         keep_members(catalog, catalog_log, now);
         keep_members(registers, register_log, now);
     }
-    hub.tick(catalog.may_answer(now), now);
+    hub.tick(catalog.is_authoritative(now), now);
     if (crashes.is_due(now))
     {
         crashes.tick(linked, entry_names(), now);
     }
-    if (catalog.may_answer(now) && knows_entries(now))
+    if (catalog.is_authoritative(now) && knows_entries(now))
     {
         tell_entries(now);
     }
--- a/src/control/control_implementation.hpp
+++ b/src/control/control_implementation.hpp
@@ -14,9 +14,9 @@
 #include <flaxtiller/core/hash.hpp>
 #include <flaxtiller/distribution/publisher.hpp>
 #include <flaxtiller/distribution/report_pace.hpp>
-#include <flaxtiller/quorum/member_keeper.hpp>
+#include <flaxtiller/quorum/membership_planner.hpp>
 #include <flaxtiller/quorum/posix_file_system.hpp>
-#include <flaxtiller/quorum/replicated_machine.hpp>
+#include <flaxtiller/quorum/replicated_state_machine.hpp>
 #include <flaxtiller/register/register_state.hpp>
 #include <flaxtiller/teams/rate_ledger.hpp>
 
@@ -48,8 +48,8 @@
 /// An instance counts as sharing the backend servers for this long after its last report.
 inline constexpr duration instance_age = duration::from_ms(10000);
 
-using catalog_machine = quorum::replicated_machine<catalog_state, quorum::posix_file_system>;
-using register_machine = quorum::replicated_machine<register_state, quorum::posix_file_system>;
+using catalog_machine = quorum::replicated_state_machine<catalog_state, quorum::posix_file_system>;
+using register_machine = quorum::replicated_state_machine<register_state, quorum::posix_file_system>;
 
 /// @brief The parts of a control process and how they hang together. Its members are defined by job:
 /// control_decisions.cpp, control_links.cpp, control_operators.cpp, control_process.cpp.
@@ -124,7 +124,7 @@
     limit_keeping limits_kept;
     time_point leaderless_since = time_point::never();
     time_point share_limits_at{};
-    quorum::member_keeper keeper;
+    quorum::membership_planner keeper;
     http_server operators;
     std::unique_ptr<http_server> gateway;
     time_point notice_at{};
@@ -180,7 +180,7 @@
         {
             return;
         }
-        const bool adds = wanted->what == quorum::member_change::kind::add;
+        const bool adds = wanted->operation == quorum::member_change::kind::add;
         const std::error_code refused = adds ? node->add_member(wanted->name, wanted->incarnation, now)
                                              : node->remove_member(wanted->name, now);
         if (!refused)
--- a/src/control/control_links.cpp
+++ b/src/control/control_links.cpp
@@ -119,7 +119,7 @@
     publisher.on_report(instance_name(from.name), report, now);
     entries.insert_or_assign(from.name,
                              entry_peer{instance_name(from.name), from.region, from.zone, from.address});
-    const bool answers = catalog.may_answer(now);
+    const bool answers = catalog.is_authoritative(now);
     if (answers)
     {
         links.send(from.name, confirmation(now));
@@ -145,7 +145,7 @@
 bool control_process::implementation::keeps_limits(time_point now)
 {
     const quorum::replica* node = catalog.node();
-    const bool leads = catalog.may_answer(now);
+    const bool leads = catalog.is_authoritative(now);
     const bool stands_in = !leads && stands_in_for_limits(now);
     if (!leads && !stands_in)
     {
@@ -165,7 +165,7 @@
 double control_process::implementation::limits_share(int all_entries, time_point now)
 {
     // Who leads has a majority behind it; who stands in may be cut off from most entries.
-    if (catalog.may_answer(now) || all_entries <= 0)
+    if (catalog.is_authoritative(now) || all_entries <= 0)
     {
         return 1.0;
     }
--- a/src/control/control_operators.cpp
+++ b/src/control/control_operators.cpp
@@ -159,7 +159,7 @@
                                              std::function<void(std::error_code, const change_result&)> done)
 {
     const std::int64_t held = catalog.state().current().version;
-    if (wanted.version > 0 && wanted.version <= held && catalog.may_answer(clock.now()))
+    if (wanted.version > 0 && wanted.version <= held && catalog.is_authoritative(clock.now()))
     {
         // Decided already, and a majority has what it was overtaken by.
         log(log_level::info, "change",
@@ -228,7 +228,7 @@
         respond(refusal);
         return;
     }
-    if (!catalog.may_answer(clock.now()))
+    if (!catalog.is_authoritative(clock.now()))
     {
         respond(not_leader());
         return;
@@ -265,7 +265,7 @@
 
 void control_process::implementation::on_configuration(const http_server::respond& respond)
 {
-    if (!catalog.may_answer(clock.now()))
+    if (!catalog.is_authoritative(clock.now()))
     {
         respond(not_leader());
         return;
@@ -284,7 +284,7 @@
 void control_process::implementation::on_status(const http_server::respond& respond)
 {
     const time_point now = clock.now();
-    if (!catalog.may_answer(now))
+    if (!catalog.is_authoritative(now))
     {
         respond(not_leader());
         return;
--- a/src/control/control_process.cpp
+++ b/src/control/control_process.cpp
@@ -110,7 +110,7 @@
 const configuration* control_process::current() const
 {
     const implementation& self = *m_implementation;
-    return self.catalog.may_answer(self.clock.now()) ? &self.catalog.state().current() : nullptr;
+    return self.catalog.is_authoritative(self.clock.now()) ? &self.catalog.state().current() : nullptr;
 }
 
 bool control_process::leads() const
--- a/src/quorum/member_keeper.cpp
+++ b/src/quorum/membership_planner.cpp
@@ -1,19 +1,19 @@
-#include <flaxtiller/quorum/member_keeper.hpp>
+#include <flaxtiller/quorum/membership_planner.hpp>
 
 #include <algorithm>
 
 namespace flaxtiller::quorum
 {
 
-bool member_keeper::is_silent(const replica_name& name, const std::map<replica_name, progress>& others,
+bool membership_planner::is_silent(const replica_name& name, const std::map<replica_name, progress>& others,
                               time_point now) const
 {
     const auto found = others.find(name);
-    return found == others.end() || now - found->second.heard_at >= m_options.lost_after;
+    return found == others.end() || now - found->second.last_contact >= m_options.lost_after;
 }
 
 /// A silent voter without which the others still are a majority of their own.
-std::optional<replica_name> member_keeper::replaceable(const replica_name& self, const member_set& members,
+std::optional<replica_name> membership_planner::replaceable(const replica_name& self, const member_set& members,
                                                        const std::map<replica_name, progress>& others,
                                                        time_point now) const
 {
@@ -38,7 +38,7 @@
     return std::nullopt;
 }
 
-std::optional<member_change> member_keeper::next(const replica_name& self, const member_set& members,
+std::optional<member_change> membership_planner::next(const replica_name& self, const member_set& members,
                                                  const std::map<replica_name, progress>& others,
                                                  const std::map<replica_name, announcement>& announced,
                                                  time_point now) const
@@ -46,7 +46,7 @@
     std::optional<member_change> newcomer;
     for (const auto& [name, said] : announced)
     {
-        if (name == self || now - said.heard_at > m_options.announcement_age)
+        if (name == self || now - said.last_contact > m_options.max_announcement_age)
         {
             continue;
         }
--- a/src/quorum/message_codec.cpp
+++ b/src/quorum/message_codec.cpp
@@ -30,13 +30,13 @@
 
     void operator()(const vote_request& body) const
     {
-        j["trial"] = body.trial;
+        j["trial"] = body.pre_vote;
         j["last_index"] = body.last_index;
         j["last_term"] = body.last_term;
     }
     void operator()(const vote_reply& body) const
     {
-        j["trial"] = body.trial;
+        j["trial"] = body.pre_vote;
         j["granted"] = body.granted;
     }
     void operator()(const append_request& body) const
@@ -60,11 +60,11 @@
     }
     void operator()(const leadership_query& body) const
     {
-        j["life"] = body.life;
+        j["life"] = body.replica_run;
     }
     void operator()(const leadership_reply& body) const
     {
-        j["life"] = body.life;
+        j["life"] = body.replica_run;
         j["leads"] = body.leads;
         j["members"] = body.members;
     }
--- a/src/quorum/restart_hold.cpp
+++ b/src/quorum/previous_lease_check.cpp
@@ -1,28 +1,28 @@
-#include <flaxtiller/quorum/restart_hold.hpp>
+#include <flaxtiller/quorum/previous_lease_check.hpp>
 
 #include <algorithm>
 
 namespace flaxtiller::quorum
 {
 
-restart_hold::restart_hold(std::uint64_t life) noexcept : m_life(life)
+previous_lease_check::previous_lease_check(std::uint64_t replica_run) noexcept : m_replica_run(replica_run)
 {
 }
 
-std::uint64_t restart_hold::life() const noexcept
+std::uint64_t previous_lease_check::replica_run() const noexcept
 {
-    return m_life;
+    return m_replica_run;
 }
 
-bool restart_hold::awaits(const replica_name& voter) const
+bool previous_lease_check::awaits_reply_from(const replica_name& voter) const
 {
     return m_not_leading.count(voter) == 0;
 }
 
-void restart_hold::take(const replica_name& from, incarnation_id incarnation, const leadership_reply& reply,
+void previous_lease_check::record_reply(const replica_name& from, incarnation_id incarnation, const leadership_reply& reply,
                         const member_set& members)
 {
-    if (reply.life != m_life)
+    if (reply.replica_run != m_replica_run)
     {
         return;
     }
@@ -39,13 +39,13 @@
     }
 }
 
-bool restart_hold::is_ruled_out(const replica_name& self, const member_set& members) const
+bool previous_lease_check::rules_out_lease(const replica_name& self, const member_set& members) const
 {
     const bool all_answered = std::all_of(members.members.begin(), members.members.end(),
                                           [&](const auto& item)
                                           {
                                               const bool counts = item.second.voter && item.first != self;
-                                              return !counts || !awaits(item.first);
+                                              return !counts || !awaits_reply_from(item.first);
                                           });
     return all_answered && members.majority_of(
                                [&](const member& item)
--- a/src/quorum/record_codec.cpp
+++ b/src/quorum/record_codec.cpp
@@ -79,7 +79,7 @@
     found.payload = file.substr(offset + header_size, length);
     found.size = header_size + length;
     const bool intact = load<std::uint64_t>(file, offset + payload_check_at) == hash64(found.payload);
-    found.state = intact ? record_state::whole : record_state::corrupt;
+    found.state = intact ? record_state::intact_record : record_state::corrupt;
     return found;
 }
 
--- a/src/quorum/replica.cpp
+++ b/src/quorum/replica.cpp
@@ -14,10 +14,10 @@
                  std::uint64_t seed, time_point now)
     : m_name(std::move(name)), m_incarnation(incarnation), m_timing(limits), m_random(seed),
       m_hard(stored.hard), m_log(stored.base, stored.entries), m_commit(stored.base.last_index),
-      m_synced(m_log.last_index()), m_emitted(stored.base.last_index), m_hold(std::in_place, m_random()),
+      m_synced(m_log.last_index()), m_emitted(stored.base.last_index), m_previous_lease_check(std::in_place, m_random()),
       m_query_due(now),
       // It may have heard from a leader just before it stopped, so it counts as having heard one now.
-      m_leader_heard_at(now)
+      m_last_leader_contact(now)
 {
     reset_election_deadline(now);
 }
@@ -67,9 +67,9 @@
     return m_progress;
 }
 
-const std::map<replica_name, incarnation_id>& replica::strangers() const noexcept
+const std::map<replica_name, incarnation_id>& replica::non_members() const noexcept
 {
-    return m_strangers;
+    return m_non_members;
 }
 
 time_point replica::next_tick() const noexcept
@@ -78,7 +78,7 @@
     {
         return m_heartbeat_due;
     }
-    return m_hold ? std::min(m_query_due, m_election_deadline) : m_election_deadline;
+    return m_previous_lease_check ? std::min(m_query_due, m_election_deadline) : m_election_deadline;
 }
 
 output replica::take_output()
@@ -86,9 +86,9 @@
     return std::exchange(m_output, output{});
 }
 
-bool replica::awaits_earlier_lease() const noexcept
+bool replica::awaits_previous_lease_end() const noexcept
 {
-    return m_hold.has_value();
+    return m_previous_lease_check.has_value();
 }
 
 bool replica::is_ready_leader() const noexcept
@@ -136,7 +136,7 @@
         }
         return;
     }
-    if (m_hold && now >= m_query_due)
+    if (m_previous_lease_check && now >= m_query_due)
     {
         query_leadership(now);
     }
@@ -153,16 +153,16 @@
     m_election_deadline = now + m_timing.election_min + duration::from_us(draw(m_random));
 }
 
-bool replica::heard_leader_recently(time_point now) const
+bool replica::has_recent_leader_contact(time_point now) const
 {
-    return now - m_leader_heard_at < m_timing.election_min;
+    return now - m_last_leader_contact < m_timing.election_min;
 }
 
-void replica::note_leader(time_point now)
+void replica::record_leader_contact(time_point now)
 {
-    m_leader_heard_at = now;
-    m_stands_early_until = now;
-    m_hold.reset();
+    m_last_leader_contact = now;
+    m_early_election_until = now;
+    m_previous_lease_check.reset();
 }
 
 void replica::check_quorum(time_point now)
@@ -172,7 +172,7 @@
         {
             const auto found = m_progress.find(item.name);
             return item.name == m_name ||
-                   (found != m_progress.end() && now - found->second.heard_at < m_timing.election_max);
+                   (found != m_progress.end() && now - found->second.last_contact < m_timing.election_max);
         });
     if (!alive)
     {
@@ -199,7 +199,7 @@
     }
     if (is_superseded(received) && std::holds_alternative<vote_request>(received.body))
     {
-        m_strangers[received.from] = received.from_incarnation;
+        m_non_members[received.from] = received.from_incarnation;
         return;
     }
     if (const auto* vote = std::get_if<vote_request>(&received.body))
@@ -218,9 +218,9 @@
         on_leadership_reply(received, *reply, now);
         return;
     }
-    const auto* trial = std::get_if<vote_reply>(&received.body);
-    const bool granted_trial = trial != nullptr && trial->trial && trial->granted;
-    if (received.term > m_hard.term && !granted_trial)
+    const auto* vote_result = std::get_if<vote_reply>(&received.body);
+    const bool granted_pre_vote = vote_result != nullptr && vote_result->pre_vote && vote_result->granted;
+    if (received.term > m_hard.term && !granted_pre_vote)
     {
         become_follower(received.term, {}, now);
     }
@@ -245,9 +245,9 @@
 void replica::send(const replica_name& to, incarnation_id to_incarnation, message_body body, bool after_sync)
 {
     const auto* vote = std::get_if<vote_request>(&body);
-    const bool trial = vote != nullptr && vote->trial;
-    // A trial asks about the term that would follow.
-    const term_number term = trial ? m_hard.term + 1 : m_hard.term;
+    const bool is_pre_vote = vote != nullptr && vote->pre_vote;
+    // A pre-vote refers to the term that the candidate would start.
+    const term_number term = is_pre_vote ? m_hard.term + 1 : m_hard.term;
     message out{m_name, m_incarnation, to, to_incarnation, term, std::move(body)};
     // Nothing may be said under a term or vote that isn't on disk yet.
     const bool must_wait = after_sync || m_output.hard.has_value();
@@ -264,7 +264,7 @@
 // following
 // ---------------------------------------------------------------------------------------------------------
 
-void replica::note_commit(log_index leader_commit)
+void replica::record_known_commit(log_index leader_commit)
 {
     if (leader_commit > m_hard.known_commit)
     {
@@ -286,8 +286,8 @@
         return;
     }
     become_follower(received.term, received.from, now);
-    note_leader(now);
-    note_commit(body.commit);
+    record_leader_contact(now);
+    record_known_commit(body.commit);
 
     const auto known_term = m_log.term_at(body.previous_index);
     const bool before_base = body.previous_index < m_log.base().last_index;
@@ -297,14 +297,14 @@
         send(received.from, received.from_incarnation, append_reply{false, hint, body.sent_at_us}, true);
         return;
     }
-    take_entries(body);
+    append_received(body);
     const log_index last_new = body.previous_index + static_cast<log_index>(body.entries.size());
     const log_index match = std::max(last_new, m_log.base().last_index);
     emit_committed(std::min(body.commit, match));
     send(received.from, received.from_incarnation, append_reply{true, match, body.sent_at_us}, true);
 }
 
-void replica::take_entries(const append_request& body)
+void replica::append_received(const append_request& body)
 {
     for (const log_entry& entry : body.entries)
     {
@@ -340,7 +340,7 @@
         return;
     }
     become_follower(received.term, received.from, now);
-    note_leader(now);
+    record_leader_contact(now);
     if (body.base.last_index > m_commit)
     {
         m_log.reset(body.base);
@@ -351,7 +351,7 @@
         m_commit = body.base.last_index;
         m_emitted = body.base.last_index;
         m_synced = body.base.last_index;
-        note_commit(m_commit);
+        record_known_commit(m_commit);
     }
     const log_index match = std::min(m_commit, body.base.last_index);
     send(received.from, received.from_incarnation, append_reply{true, match, body.sent_at_us}, true);
--- a/src/quorum/replica_election.cpp
+++ b/src/quorum/replica_election.cpp
@@ -14,19 +14,19 @@
 
 void replica::query_leadership(time_point now)
 {
-    if (!heard_leader_recently(now))
+    if (!has_recent_leader_contact(now))
     {
         // Whatever lease its earlier life was part of is over.
-        m_hold.reset();
+        m_previous_lease_check.reset();
         return;
     }
-    m_query_due = now + m_timing.query_every;
+    m_query_due = now + m_timing.leadership_query_interval;
     for (const auto& [name, item] : m_log.members().members)
     {
-        if (name != m_name && item.voter && m_hold->awaits(name))
+        if (name != m_name && item.voter && m_previous_lease_check->awaits_reply_from(name))
         {
             // To whoever lives under that name now, be it on another disk.
-            send(name, 0, leadership_query{m_hold->life()}, false);
+            send(name, 0, leadership_query{m_previous_lease_check->replica_run()}, false);
         }
     }
 }
@@ -34,23 +34,23 @@
 void replica::on_leadership_query(const message& received, const leadership_query& body)
 {
     send(received.from, received.from_incarnation,
-         leadership_reply{body.life, m_role == role::leader, m_log.members()}, false);
+         leadership_reply{body.replica_run, m_role == role::leader, m_log.members()}, false);
 }
 
 void replica::on_leadership_reply(const message& received, const leadership_reply& body, time_point now)
 {
-    if (!m_hold)
+    if (!m_previous_lease_check)
     {
         return;
     }
-    m_hold->take(received.from, received.from_incarnation, body, m_log.members());
-    if (!m_hold->is_ruled_out(m_name, m_log.members()))
+    m_previous_lease_check->record_reply(received.from, received.from_incarnation, body, m_log.members());
+    if (!m_previous_lease_check->rules_out_lease(m_name, m_log.members()))
     {
         return;
     }
-    m_hold.reset();
-    m_leader_heard_at = now - m_timing.election_min;
-    m_stands_early_until = now + m_timing.election_min;
+    m_previous_lease_check.reset();
+    m_last_leader_contact = now - m_timing.election_min;
+    m_early_election_until = now + m_timing.election_min;
     m_election_deadline = std::min(m_election_deadline, now + early_election_delay());
 }
 
@@ -92,13 +92,13 @@
     reset_election_deadline(now);
 }
 
-void replica::start_election(bool trial, time_point now)
+void replica::start_election(bool pre_vote, time_point now)
 {
     reset_election_deadline(now);
-    if (now < m_stands_early_until)
+    if (now < m_early_election_until)
     {
         // The others may not have ruled out an earlier lease yet: answers to their queries are on their way.
-        m_election_deadline = now + m_timing.query_every + early_election_delay();
+        m_election_deadline = now + m_timing.leadership_query_interval + early_election_delay();
     }
     const bool may_lead = m_log.members().is_voter(m_name, m_incarnation);
     const bool lost_entries = m_log.last_index() < m_hard.known_commit;
@@ -106,21 +106,21 @@
     {
         return;
     }
-    m_role = trial ? role::pre_candidate : role::candidate;
+    m_role = pre_vote ? role::pre_candidate : role::candidate;
     m_leader = {};
     m_votes.clear();
-    if (!trial)
+    if (!pre_vote)
     {
         ++m_hard.term;
         m_hard.voted_for = m_name;
         persist_hard();
     }
-    const vote_request request{trial, m_log.last_index(), m_log.last_term()};
+    const vote_request request{pre_vote, m_log.last_index(), m_log.last_term()};
     for (const auto& [name, item] : m_log.members().members)
     {
         if (name != m_name && item.voter)
         {
-            send(name, item.incarnation, request, !trial);
+            send(name, item.incarnation, request, !pre_vote);
         }
     }
     count_vote(m_name, now);
@@ -156,7 +156,7 @@
     refresh_progress(now);
     log_entry opening;
     opening.kind = entry_kind::no_operation;
-    append_own(std::move(opening));
+    append_new_entry(std::move(opening));
     replicate_to_all(now);
     m_heartbeat_due = now + m_timing.heartbeat;
 }
@@ -172,16 +172,16 @@
 {
     const auto answer = [&](bool granted)
     {
-        send(received.from, received.from_incarnation, vote_reply{body.trial, granted},
-             granted && !body.trial);
+        send(received.from, received.from_incarnation, vote_reply{body.pre_vote, granted},
+             granted && !body.pre_vote);
     };
 
-    if (m_role == role::leader || heard_leader_recently(now))
+    if (m_role == role::leader || has_recent_leader_contact(now))
     {
         answer(false);
         return;
     }
-    if (body.trial)
+    if (body.pre_vote)
     {
         answer(received.term > m_hard.term && is_up_to_date(body));
         return;
@@ -196,7 +196,7 @@
     {
         m_hard.voted_for = received.from;
         persist_hard();
-        m_stands_early_until = now;
+        m_early_election_until = now;
         reset_election_deadline(now);
     }
     answer(granted);
@@ -204,8 +204,8 @@
 
 void replica::on_vote_reply(const message& received, const vote_reply& body, time_point now)
 {
-    const bool expected = body.trial ? m_role == role::pre_candidate : m_role == role::candidate;
-    const bool same_round = body.trial || received.term == m_hard.term;
+    const bool expected = body.pre_vote ? m_role == role::pre_candidate : m_role == role::candidate;
+    const bool same_round = body.pre_vote || received.term == m_hard.term;
     if (!expected || !same_round || !body.granted)
     {
         return;
--- a/src/quorum/replica_leading.cpp
+++ b/src/quorum/replica_leading.cpp
@@ -29,12 +29,12 @@
     log_entry entry;
     entry.kind = entry_kind::command;
     entry.command = std::move(command);
-    append_own(std::move(entry));
+    append_new_entry(std::move(entry));
     replicate_to_all(now);
     return m_log.last_index();
 }
 
-void replica::append_own(log_entry entry)
+void replica::append_new_entry(log_entry entry)
 {
     entry.index = m_log.last_index() + 1;
     entry.term = m_hard.term;
@@ -71,7 +71,7 @@
             });
         if (stored)
         {
-            note_commit(index);
+            record_known_commit(index);
             emit_committed(index);
             const bool removed = m_log.members().members.count(m_name) == 0;
             if (removed && m_log.members_index() <= m_commit)
@@ -98,7 +98,7 @@
         {
             progress fresh;
             fresh.next = m_log.last_index() + 1;
-            fresh.heard_at = now;
+            fresh.last_contact = now;
             fresh.acknowledged_sent_at = now - m_timing.election_max;
             m_progress.emplace(name, fresh);
         }
@@ -161,11 +161,11 @@
     const auto item = members.find(received.from);
     if (item == members.end() || item->second.incarnation != received.from_incarnation)
     {
-        m_strangers[received.from] = received.from_incarnation;
+        m_non_members[received.from] = received.from_incarnation;
         return;
     }
     progress& state = m_progress[received.from];
-    state.heard_at = now;
+    state.last_contact = now;
     const time_point sent_at(duration::from_us(body.sent_at_us));
     state.acknowledged_sent_at = std::max(state.acknowledged_sent_at, sent_at);
     if (!body.success)
@@ -224,7 +224,7 @@
     log_entry entry;
     entry.kind = entry_kind::members;
     entry.members = std::move(next);
-    append_own(std::move(entry));
+    append_new_entry(std::move(entry));
     refresh_progress(now);
     replicate_to_all(now);
     return {};
@@ -242,11 +242,11 @@
     const std::error_code refused = propose_members(std::move(next), now);
     if (!refused)
     {
-        m_strangers.erase(name);
+        m_non_members.erase(name);
         progress& state = m_progress[name];
         state = progress{};
         state.next = m_log.last_index() + 1;
-        state.heard_at = now;
+        state.last_contact = now;
         state.acknowledged_sent_at = now - m_timing.election_max;
     }
     return refused;
@@ -276,7 +276,7 @@
             continue;
         }
         const progress& state = found->second;
-        const bool alive = now - state.heard_at < m_timing.election_min;
+        const bool alive = now - state.last_contact < m_timing.election_min;
         if (alive && state.match > 0 && state.match >= m_commit)
         {
             member_set next = m_log.members();
--- a/src/shell/machine_dump.hpp
+++ b/src/shell/machine_dump.hpp
@@ -36,7 +36,7 @@
         if (known != node.others().end())
         {
             row["match"] = known->second.match;
-            row["heard_ms_ago"] = (now - known->second.heard_at).ms();
+            row["heard_ms_ago"] = (now - known->second.last_contact).ms();
         }
         members.push_back(std::move(row));
     }
@@ -64,7 +64,7 @@
                         {"syncs", machine.syncs()},
                         {"lease", node->has_lease(now)},
                         {"members", members_of(*node, now)}};
-    for (const auto& [name, incarnation] : node->strangers())
+    for (const auto& [name, incarnation] : node->non_members())
     {
         j["strangers"].push_back({{"name", name}, {"incarnation", incarnation}});
     }
--- a/src/shell/settings.cpp
+++ b/src/shell/settings.cpp
@@ -148,7 +148,7 @@
     read_ms(reader, "heartbeat_ms", into.heartbeat, 1.0, hour_ms);
     read_ms(reader, "election_min_ms", into.election_min, 1.0, hour_ms);
     read_ms(reader, "election_max_ms", into.election_max, 1.0, hour_ms);
-    read_ms(reader, "query_every_ms", into.query_every, 1.0, hour_ms);
+    read_ms(reader, "query_every_ms", into.leadership_query_interval, 1.0, hour_ms);
     read_ms(reader, "early_election_spread_ms", into.early_election_spread, 0.0, hour_ms);
     reader.number("clock_drift", into.clock_drift, 0.0, 0.2);
     constexpr double heartbeats_per_election = 2.0;
--- a/src/shell/settings.hpp
+++ b/src/shell/settings.hpp
@@ -6,7 +6,7 @@
 
 #include <flaxtiller/core/findings.hpp>
 #include <flaxtiller/dispatch/scheduler_options.hpp>
-#include <flaxtiller/quorum/member_keeper.hpp>
+#include <flaxtiller/quorum/membership_planner.hpp>
 #include <flaxtiller/quorum/timing.hpp>
 #include <flaxtiller/routing/router_options.hpp>
 #include <flaxtiller/teams/rate_limit.hpp>
@@ -111,7 +111,7 @@
     std::map<std::string, std::string> region_of_zone;
     /// A registered backend server that wasn't heard for this long is lost: several of its heartbeats.
     duration registration_silence = duration::from_ms(8000);
-    quorum::member_keeper::options keeper;
+    quorum::membership_planner::options keeper;
     /// By how much all entries together may exceed the limit of a team.
     rate_tolerance limit_tolerance;
     std::string data_folder;
--- a/tests/src/unit-log-store.cpp
+++ b/tests/src/unit-log-store.cpp
@@ -1,7 +1,7 @@
 #include "faulty_file_system.hpp"
 
 #include <flaxtiller/catalog/catalog_state.hpp>
-#include <flaxtiller/quorum/replicated_machine.hpp>
+#include <flaxtiller/quorum/replicated_state_machine.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -119,7 +119,7 @@
 
 TEST_CASE("a replica on a failing disk", "[quorum][storage]")
 {
-    using machine = replicated_machine<catalog_state, faulty_file_system>;
+    using machine = replicated_state_machine<catalog_state, faulty_file_system>;
     faulty_file_system files;
     time_point now(duration::from_ms(1000));
     machine node(files, "c1", c1, timing{});
@@ -154,7 +154,7 @@
         node.pump(send, now);
     };
     pass(1500);
-    REQUIRE(node.may_answer(now));
+    REQUIRE(node.is_authoritative(now));
     apply("first", 0);
     REQUIRE(told.count("first") == 1);
     REQUIRE_FALSE(told["first"]);
@@ -165,12 +165,12 @@
         apply("second", 1);
         CHECK(told["second"] == make_error_code(errc::not_committed));
         CHECK(node.storage_error() == make_error_code(errc::storage_failed));
-        CHECK_FALSE(node.may_answer(now));
+        CHECK_FALSE(node.is_authoritative(now));
         pass(3000);
-        CHECK_FALSE(node.may_answer(now));
+        CHECK_FALSE(node.is_authoritative(now));
         files.fail_writes = false;
         pass(4000);
-        REQUIRE(node.may_answer(now));
+        REQUIRE(node.is_authoritative(now));
         CHECK_FALSE(node.storage_error());
         CHECK(node.state().revision() == 1);
         apply("second", 1);
@@ -186,7 +186,7 @@
         const std::string suspect = files.files.rbegin()->first;
         files.fail_syncs = false;
         pass(4000);
-        REQUIRE(node.may_answer(now));
+        REQUIRE(node.is_authoritative(now));
         CHECK(files.files.count(suspect) == 0);
         apply("second", 1);
         CHECK_FALSE(told["second"]);
--- a/tests/src/unit-quorum.cpp
+++ b/tests/src/unit-quorum.cpp
@@ -171,11 +171,11 @@
         }
         driver restarted(stored);
         restarted.pass(1);
-        const std::uint64_t life = restarted.last_said<leadership_query>()->life;
+        const std::uint64_t replica_run = restarted.last_said<leadership_query>()->replica_run;
         for (int i = 2; i <= 6; ++i)
         {
             restarted.hear(replica_name(others + std::to_string(i)), static_cast<incarnation_id>(10 + i), 1,
-                           leadership_reply{life, false, restarted.node.members()});
+                           leadership_reply{replica_run, false, restarted.node.members()});
         }
         double waited = 0.0;
         while (restarted.node.role() == role::follower && waited < 1000.0)
@@ -200,20 +200,20 @@
     {
         restarted.pass(1);
         REQUIRE(restarted.last_said<leadership_query>() != nullptr);
-        return restarted.last_said<leadership_query>()->life;
+        return restarted.last_said<leadership_query>()->replica_run;
     };
     const auto votes = [&]
     {
         restarted.hear(c3, 13, 9, vote_request{false, 50, 8});
         return restarted.last_said<vote_reply>()->granted;
     };
-    const std::uint64_t life = ask();
+    const std::uint64_t replica_run = ask();
 
     SECTION("ends, and it stands for election soon, once no other voter leads")
     {
-        restarted.hear(c2, 12, 1, leadership_reply{life, false, members});
+        restarted.hear(c2, 12, 1, leadership_reply{replica_run, false, members});
         CHECK_FALSE(votes());
-        restarted.hear(c3, 13, 1, leadership_reply{life, false, members});
+        restarted.hear(c3, 13, 1, leadership_reply{replica_run, false, members});
         restarted.pass(timing{}.early_election_spread.ms());
         CHECK(restarted.node.role() == role::pre_candidate);
         CHECK(votes());
@@ -221,18 +221,18 @@
 
     SECTION("ends earlier than the others', which refuse their votes: it soon stands again")
     {
-        restarted.hear(c2, 12, 1, leadership_reply{life, false, members});
-        restarted.hear(c3, 13, 1, leadership_reply{life, false, members});
+        restarted.hear(c2, 12, 1, leadership_reply{replica_run, false, members});
+        restarted.hear(c3, 13, 1, leadership_reply{replica_run, false, members});
         restarted.pass(timing{}.early_election_spread.ms());
         restarted.hear(c2, 12, 1, vote_reply{true, false});
         restarted.hear(c3, 13, 1, vote_reply{true, false});
         restarted.said.clear();
-        restarted.pass(timing{}.query_every.ms() + timing{}.early_election_spread.ms());
+        restarted.pass(timing{}.leadership_query_interval.ms() + timing{}.early_election_spread.ms());
         CHECK(restarted.last_said<vote_request>() != nullptr);
         SECTION("and not for long")
         {
             restarted.pass(timing{}.election_min.ms());
-            restarted.pass(timing{}.early_election_spread.ms() + timing{}.query_every.ms());
+            restarted.pass(timing{}.early_election_spread.ms() + timing{}.leadership_query_interval.ms());
             restarted.said.clear();
             restarted.pass(timing{}.election_min.ms() - 1);
             CHECK(restarted.last_said<vote_request>() == nullptr);
@@ -241,9 +241,9 @@
 
     SECTION("lasts while a voter is silent, and that one alone is asked again")
     {
-        restarted.hear(c2, 12, 1, leadership_reply{life, false, members});
+        restarted.hear(c2, 12, 1, leadership_reply{replica_run, false, members});
         restarted.said.clear();
-        restarted.pass(timing{}.query_every.ms());
+        restarted.pass(timing{}.leadership_query_interval.ms());
         REQUIRE(restarted.said.size() == 1);
         CHECK(restarted.said[0].to == c3);
         CHECK_FALSE(votes());
@@ -251,31 +251,31 @@
 
     SECTION("lasts while a voter leads")
     {
-        restarted.hear(c2, 12, 1, leadership_reply{life, false, members});
-        restarted.hear(c3, 13, 1, leadership_reply{life, true, members});
+        restarted.hear(c2, 12, 1, leadership_reply{replica_run, false, members});
+        restarted.hear(c3, 13, 1, leadership_reply{replica_run, true, members});
         CHECK_FALSE(votes());
         CHECK(restarted.node.role() == role::follower);
     }
 
     SECTION("isn't ended by answers to an earlier life")
     {
-        restarted.hear(c2, 12, 1, leadership_reply{life + 1, false, members});
-        restarted.hear(c3, 13, 1, leadership_reply{life + 1, false, members});
+        restarted.hear(c2, 12, 1, leadership_reply{replica_run + 1, false, members});
+        restarted.hear(c3, 13, 1, leadership_reply{replica_run + 1, false, members});
         CHECK_FALSE(votes());
     }
 
     SECTION("a wiped voter doesn't lead, but knows nothing of members")
     {
-        restarted.hear(c3, 99, 0, leadership_reply{life, false, {}});
+        restarted.hear(c3, 99, 0, leadership_reply{replica_run, false, {}});
         CHECK_FALSE(votes());
         SECTION("the others' word suffices")
         {
-            restarted.hear(c2, 12, 1, leadership_reply{life, false, members});
+            restarted.hear(c2, 12, 1, leadership_reply{replica_run, false, members});
             CHECK(votes());
         }
         SECTION("two of them leave nobody who knows")
         {
-            restarted.hear(c2, 98, 0, leadership_reply{life, false, {}});
+            restarted.hear(c2, 98, 0, leadership_reply{replica_run, false, {}});
             CHECK_FALSE(votes());
         }
     }
@@ -284,16 +284,16 @@
     {
         member_set more = members;
         more.members.emplace(replica_name("c4"), member{replica_name("c4"), 14, true});
-        restarted.hear(c2, 12, 1, leadership_reply{life, false, more});
-        restarted.hear(c3, 13, 1, leadership_reply{life, false, more});
+        restarted.hear(c2, 12, 1, leadership_reply{replica_run, false, more});
+        restarted.hear(c3, 13, 1, leadership_reply{replica_run, false, more});
         CHECK_FALSE(votes());
     }
 
     SECTION("starts anew once it heard a leader in this life")
     {
         restarted.hear(c2, 12, 1, append_request{1, 1, 1, 7, {}});
-        restarted.hear(c2, 12, 1, leadership_reply{life, false, members});
-        restarted.hear(c3, 13, 1, leadership_reply{life, false, members});
+        restarted.hear(c2, 12, 1, leadership_reply{replica_run, false, members});
+        restarted.hear(c3, 13, 1, leadership_reply{replica_run, false, members});
         CHECK_FALSE(votes());
     }
 
@@ -305,7 +305,7 @@
         leader.hear(c2, 12, term + 5, leadership_query{77});
         REQUIRE(leader.last_said<leadership_reply>() != nullptr);
         CHECK(leader.last_said<leadership_reply>()->leads);
-        CHECK(leader.last_said<leadership_reply>()->life == 77);
+        CHECK(leader.last_said<leadership_reply>()->replica_run == 77);
         CHECK(leader.node.role() == role::leader);
         CHECK(leader.node.term() == term);
     }
@@ -345,7 +345,7 @@
     {
         leader.hear(c2, 99, leader.node.term(), append_reply{true, 3, 0});
         CHECK(leader.node.commit_index() == 1);
-        CHECK(leader.node.strangers().at(c2) == 99);
+        CHECK(leader.node.non_members().at(c2) == 99);
     }
 }
 
