--- a/include/flaxtiller/quorum/file_system.hpp
+++ b/include/flaxtiller/quorum/file_system.hpp
@@ -9,17 +9,19 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief What @ref log_store needs of a file system; tests put one in its place that fails on demand.
+/// @brief The file system operations that @ref log_store uses. @ref posix_file_system implements the concept;
+/// tests use an implementation that fails on demand. Every operation reports its error as a
+/// `std::error_code`.
 template <typename FileSystem>
 concept file_system = requires(FileSystem& files, typename FileSystem::file& file, const std::string& text,
-                               std::string& into, std::error_code& failed)
+                               std::string& contents, std::error_code& error)
 {
     // clang-format off
-    /// Names of the files in a folder.
-    { files.list(text, failed) } -> std::same_as<std::vector<std::string>>;
-    /// Makes an empty file, or opens one for appending.
-    { files.open(text, failed) } -> std::same_as<typename FileSystem::file>;
-    { files.read(text, into) } -> std::same_as<std::error_code>;
+    /// Returns the names of the files in a folder.
+    { files.list(text, error) } -> std::same_as<std::vector<std::string>>;
+    /// Opens a file for appending and creates it if it does not exist.
+    { files.open(text, error) } -> std::same_as<typename FileSystem::file>;
+    { files.read(text, contents) } -> std::same_as<std::error_code>;
     { files.rename(text, text) } -> std::same_as<std::error_code>;
     { files.remove(text) } -> std::same_as<std::error_code>;
     { files.sync_folder(text) } -> std::same_as<std::error_code>;
--- a/include/flaxtiller/quorum/hard_state.hpp
+++ b/include/flaxtiller/quorum/hard_state.hpp
@@ -5,13 +5,15 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief What a replica must have on disk before it answers.
+/// @brief The election state of a replica. A replica writes it to disk before it sends a message that depends
+/// on it.
 struct hard_state
 {
     term_number term = 0;
+    /// The candidate that received this replica's vote in @ref term; empty if none did.
     replica_name voted_for;
-    /// The highest index that a leader was heard to call committed. A candidate whose log is shorter gets no
-    /// vote: its folder was put back from an old copy.
+    /// The highest commit index that a leader reported to this replica. A candidate whose log is shorter gets
+    /// no vote, because its data folder was restored from an old copy.
     log_index known_commit = 0;
 
     bool operator==(const hard_state&) const = default;
--- a/include/flaxtiller/quorum/log_entry.hpp
+++ b/include/flaxtiller/quorum/log_entry.hpp
@@ -8,14 +8,14 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief What an entry is for.
+/// @brief The purpose of a log entry.
 enum class entry_kind : std::uint8_t
 {
-    /// Opens a leader's term; it has no effect.
+    /// The first entry of a leader's term. It does not change the replicated state.
     no_operation = 0,
-    /// A command of the replicated state.
+    /// A command for the replicated state.
     command = 1,
-    /// A new member set, in force as soon as it stands in a log.
+    /// A new member set. A replica uses it as soon as the entry is in its log, committed or not.
     members = 2,
 };
 
--- a/include/flaxtiller/quorum/log_store.hpp
+++ b/include/flaxtiller/quorum/log_store.hpp
@@ -17,7 +17,7 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief Which replica a folder belongs to.
+/// @brief The replica that a data folder belongs to.
 struct store_identity
 {
     replica_name name;
@@ -26,29 +26,32 @@
     bool operator==(const store_identity&) const = default;
 };
 
-/// @brief The durable side of one replicated log, in files `log-<number>` of a folder.
+/// @brief Persistent storage of one replicated log, in files `log-<number>` of a folder.
 ///
-/// One file holds everything: identity, snapshot, hard state, entries. Compaction writes the next file, syncs
-/// and renames it, then removes the old one. A failed write or sync leaves the store unusable; open it again,
-/// which writes a new file, because after a failed sync the kernel's copy of the old one proves nothing.
+/// One file holds the identity, the snapshot, the hard state and the entries. Compaction writes the next
+/// file, syncs and renames it, and then removes the old file. After a failed write or sync the store is
+/// unusable and must be opened again. Opening writes a new file, because after a failed sync the page cache
+/// may hold data of the old file that is not on disk.
 template <file_system FileSystem>
 class log_store
 {
   public:
-    /// @param folder must exist
+    /// @param files the file system
+    /// @param folder an existing folder
     log_store(FileSystem& files, std::string folder) : m_files(files), m_folder(std::move(folder))
     {
     }
 
-    /// @brief Reads what is in the folder, or makes it this replica's if it is empty.
-    /// @param fresh_incarnation used if the folder is empty
-    /// @param warning set to a text where a torn tail was cut off
-    /// @return @ref errc::storage_corrupt, @ref errc::storage_foreign, @ref errc::storage_failed, or nothing
+    /// @brief Reads the newest log file of the folder. An empty folder is initialized for this replica.
+    /// @param name the replica's name
+    /// @param fresh_incarnation the incarnation to use if the folder is empty
+    /// @param warning set to a message if an incomplete record at the end of the file was discarded
+    /// @return @ref errc::storage_corrupt, @ref errc::storage_foreign, @ref errc::storage_failed, or no error
     std::error_code open(const replica_name& name, incarnation_id fresh_incarnation, std::string& warning)
     {
-        std::error_code failed;
-        const auto names = m_files.list(m_folder, failed);
-        if (failed)
+        std::error_code error;
+        const auto names = m_files.list(m_folder, error);
+        if (error)
         {
             return errc::storage_failed;
         }
@@ -62,56 +65,57 @@
         {
             m_identity = {name, fresh_incarnation};
             m_state = {};
-            return rewrite(m_state.base);
+            return write_new_file(m_state.base);
         }
         m_number = *newest;
-        failed = load(warning);
-        if (failed)
+        error = load(warning);
+        if (error)
         {
-            return failed;
+            return error;
         }
         if (m_identity.name != name)
         {
             return errc::storage_foreign;
         }
-        return rewrite(m_state.base);
+        return write_new_file(m_state.base);
     }
 
-    /// @return what @ref open found
+    /// @return the stored state: read by @ref open, updated by @ref write and @ref compact
     const persisted_state& state() const noexcept
     {
         return m_state;
     }
 
-    /// @return whose folder it is
+    /// @return the replica that the folder belongs to
     const store_identity& identity() const noexcept
     {
         return m_identity;
     }
 
-    /// @brief Writes and syncs all that @a wanted asks for, in one write and one sync.
-    /// @return @ref errc::storage_failed if it isn't known to be on disk; then open the store again
-    std::error_code write(const output& wanted)
+    /// @brief Writes and syncs all @a changes, in one write and one sync.
+    /// @return @ref errc::storage_failed if the changes may not be on disk; the store must then be opened
+    /// again
+    std::error_code write(const output& changes)
     {
-        if (wanted.install)
+        if (changes.install)
         {
-            keep(wanted);
-            return rewrite(*wanted.install);
+            update_state(changes);
+            return write_new_file(*changes.install);
         }
         std::string records;
-        if (wanted.hard)
+        if (changes.hard)
         {
-            append_record(records, record_kind::hard, to_bytes(*wanted.hard));
+            append_record(records, record_kind::hard, to_bytes(*changes.hard));
         }
-        if (wanted.truncate_from)
+        if (changes.truncate_from)
         {
-            append_record(records, record_kind::truncate, std::to_string(*wanted.truncate_from));
+            append_record(records, record_kind::truncate, std::to_string(*changes.truncate_from));
         }
-        for (const log_entry& entry : wanted.append)
+        for (const log_entry& entry : changes.append)
         {
             append_record(records, record_kind::entry, to_bytes(entry));
         }
-        keep(wanted);
+        update_state(changes);
         if (m_file.write(records) || m_file.sync())
         {
             return errc::storage_failed;
@@ -120,7 +124,7 @@
         return {};
     }
 
-    /// @brief Drops the entries up to @a base and keeps @a base instead.
+    /// @brief Replaces the entries up to the index of @a base by the snapshot @a base.
     std::error_code compact(const snapshot& base)
     {
         auto& entries = m_state.entries;
@@ -130,10 +134,10 @@
                                            return e.index > base.last_index;
                                        });
         entries.erase(entries.begin(), kept);
-        return rewrite(base);
+        return write_new_file(base);
     }
 
-    /// @return the size of the present file in bytes
+    /// @return the size of the current file in bytes
     std::uint64_t bytes() const noexcept
     {
         return m_bytes;
@@ -178,7 +182,7 @@
             }
             if (next.state == record_state::torn)
             {
-                warning = "cut off a torn record at byte " + std::to_string(offset);
+                warning = "cut off an incomplete record at byte " + std::to_string(offset);
                 break;
             }
             if (next.state == record_state::corrupt || !apply_record(next))
@@ -234,24 +238,24 @@
                       });
     }
 
-    void keep(const output& wanted)
+    void update_state(const output& changes)
     {
-        if (wanted.install)
+        if (changes.install)
         {
             m_state.entries.clear();
         }
-        if (wanted.hard)
+        if (changes.hard)
         {
-            m_state.hard = *wanted.hard;
+            m_state.hard = *changes.hard;
         }
-        if (wanted.truncate_from)
+        if (changes.truncate_from)
         {
-            truncate(*wanted.truncate_from);
+            truncate(*changes.truncate_from);
         }
-        m_state.entries.insert(m_state.entries.end(), wanted.append.begin(), wanted.append.end());
+        m_state.entries.insert(m_state.entries.end(), changes.append.begin(), changes.append.end());
     }
 
-    std::error_code rewrite(const snapshot& base)
+    std::error_code write_new_file(const snapshot& base)
     {
         m_state.base = base;
         std::string records;
@@ -271,16 +275,17 @@
     {
         const std::uint64_t next = m_number + 1;
         const std::string path = path_of(next);
-        const std::string unfinished = path + ".tmp";
-        (void)m_files.remove(unfinished);
-        std::error_code failed;
-        auto file = m_files.open(unfinished, failed);
-        if (failed || file.write(records) || file.sync() || m_files.rename(unfinished, path) ||
+        const std::string temporary_path = path + ".tmp";
+        (void)m_files.remove(temporary_path);
+        std::error_code error;
+        auto file = m_files.open(temporary_path, error);
+        if (error || file.write(records) || file.sync() || m_files.rename(temporary_path, path) ||
             m_files.sync_folder(m_folder))
         {
             return errc::storage_failed;
         }
-        // Failing to remove the old file wastes space only: the newest one counts.
+        // If the old file cannot be removed, it only wastes space: open() reads the file with the highest
+        // number.
         (void)m_files.remove(path_of(m_number));
         m_file = std::move(file);
         m_number = next;
--- a/include/flaxtiller/quorum/member.hpp
+++ b/include/flaxtiller/quorum/member.hpp
@@ -5,7 +5,8 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief One replica of the log. A learner receives entries but neither votes nor counts for commitment.
+/// @brief A replica that belongs to the replicated log. A voter takes part in elections and commitment. A
+/// learner receives entries, but does not vote and does not count towards commitment.
 struct member
 {
     replica_name name;
--- a/include/flaxtiller/quorum/member_set.hpp
+++ b/include/flaxtiller/quorum/member_set.hpp
@@ -9,7 +9,7 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief The replicas that make up the quorum at one point of the log.
+/// @brief The members of a replicated log, as of one entry of the log. The voters among them form the quorum.
 struct member_set
 {
     std::map<replica_name, member> members;
@@ -27,20 +27,20 @@
         return count;
     }
 
-    /// @return the number of voters that make a majority
+    /// @return the number of voters that form a majority
     std::size_t majority() const
     {
         return voters() / 2 + 1;
     }
 
-    /// @return whether this very incarnation votes
+    /// @return whether the replica is a voter under this incarnation
     bool is_voter(const replica_name& name, incarnation_id incarnation) const
     {
         const auto found = members.find(name);
         return found != members.end() && found->second.voter && found->second.incarnation == incarnation;
     }
 
-    /// @return whether the voters for which @a holds is true make a majority
+    /// @return whether the voters for which @a holds returns true form a majority
     bool majority_of(const std::function<bool(const member&)>& holds) const
     {
         std::size_t count = 0;
--- a/include/flaxtiller/quorum/membership_planner.hpp
+++ b/include/flaxtiller/quorum/membership_planner.hpp
@@ -10,10 +10,11 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief A replica that says which incarnation of the log it holds.
+/// @brief A replica's announcement of the incarnation of its data folder.
 struct announcement
 {
     incarnation_id incarnation = 0;
+    /// The time at which the announcement was received.
     time_point last_contact{};
 
     bool operator==(const announcement&) const = default;
@@ -24,7 +25,7 @@
 {
     enum class kind
     {
-        /// Add as a learner, in place of an earlier incarnation.
+        /// Adds the replica as a learner and replaces an earlier incarnation of it.
         add,
         remove,
     };
@@ -36,20 +37,21 @@
     bool operator==(const member_change&) const = default;
 };
 
-/// @brief Decides how a leader mends its member set: newcomers learn, a wiped replica learns anew, and a
-/// voter that stays away leaves the set once a newcomer is there to take its place. Deterministic, without
-/// state.
+/// @brief Plans the changes by which a leader repairs its member set. Deterministic and stateless.
 ///
-/// A lost voter stays as long as nobody can replace it, since it may come back, unless the voters are an even
-/// number: then the set bears as many losses without it.
+/// A new replica is added as a learner. A replica that lost its disk is added again as a learner under its
+/// new incarnation. A silent voter is removed once a new replica is available to replace it.
+///
+/// Without a replacement a silent voter remains a member, since it may return. The exception is an even
+/// number of voters: the set then tolerates as many failures without the silent voter.
 class membership_planner
 {
   public:
     struct options
     {
-        /// A voter silent for this long may be replaced; a restart takes less.
+        /// A voter that was silent for this long may be replaced. A restart takes less time.
         duration lost_after = duration::from_ms(3000);
-        /// An announcement counts for this long.
+        /// Older announcements are ignored.
         duration max_announcement_age = duration::from_ms(2000);
 
         bool operator==(const options&) const = default;
@@ -59,8 +61,11 @@
     {
     }
 
-    /// @param others what the leader knows of the other members
-    /// @param announced by name, from all replicas that can be reached
+    /// @param self the name of the leader
+    /// @param members the leader's current member set
+    /// @param others the replication progress of the other members
+    /// @param announced the last announcement of each reachable replica, by name
+    /// @param now the current time
     /// @return the next change to propose, or nothing
     std::optional<member_change> next(const replica_name& self, const member_set& members,
                                       const std::map<replica_name, progress>& others,
@@ -70,6 +75,7 @@
   private:
     bool is_silent(const replica_name& name, const std::map<replica_name, progress>& others,
                    time_point now) const;
+    /// @return a silent voter without which the remaining voters still have a reachable majority, or nothing
     std::optional<replica_name> replaceable(const replica_name& self, const member_set& members,
                                             const std::map<replica_name, progress>& others,
                                             time_point now) const;
--- a/include/flaxtiller/quorum/message.hpp
+++ b/include/flaxtiller/quorum/message.hpp
@@ -12,7 +12,8 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief Asks for a vote; with @ref trial set it only asks whether one would be given (pre-vote).
+/// @brief Requests a vote for the sender. With @ref pre_vote set, the request only asks whether the receiver
+/// would grant its vote, and changes no state of the receiver.
 struct vote_request
 {
     bool pre_vote = false;
@@ -31,13 +32,14 @@
     bool operator==(const vote_reply&) const = default;
 };
 
-/// @brief Entries from the leader, or none as a heartbeat.
+/// @brief Entries of the leader's log. A request without entries is a heartbeat.
 struct append_request
 {
     log_index previous_index = 0;
     term_number previous_term = 0;
     log_index commit = 0;
-    /// The leader's clock when it sent this, in microseconds; echoed, never compared with another clock.
+    /// The leader's clock at the time of sending, in microseconds. The receiver echoes the value; the leader
+    /// compares it with its own clock only.
     std::int64_t sent_at_us = 0;
     std::vector<log_entry> entries;
 
@@ -48,14 +50,15 @@
 struct append_reply
 {
     bool success = false;
-    /// On success the last index that is synced and agrees with the leader; else a hint where to try.
+    /// On success, the last index that is synced and agrees with the leader's log. Otherwise, a hint from
+    /// which index the leader should try next.
     log_index match = 0;
     std::int64_t sent_at_us = 0;
 
     bool operator==(const append_reply&) const = default;
 };
 
-/// @brief A whole snapshot for a replica whose next entries were compacted away.
+/// @brief A complete snapshot, for a replica whose next entries the leader no longer has in its log.
 struct install_request
 {
     snapshot base;
@@ -64,10 +67,11 @@
     bool operator==(const install_request&) const = default;
 };
 
-/// @brief Asks a voter whether it leads. Sent by a replica that restarted; see @ref restart_hold.
+/// @brief Asks a voter whether it is the leader. Sent by a replica after a restart; see
+/// @ref previous_lease_check.
 struct leadership_query
 {
-    /// Identifies the asker's present life; echoed.
+    /// Identifies the current run of the sender; the reply echoes the value.
     std::uint64_t replica_run = 0;
 
     bool operator==(const leadership_query&) const = default;
@@ -78,7 +82,7 @@
 {
     std::uint64_t replica_run = 0;
     bool leads = false;
-    /// The newest members in the log of the replica that answers, committed or not.
+    /// The newest member set in the log of the replying replica, committed or not.
     member_set members;
 
     bool operator==(const leadership_reply&) const = default;
@@ -93,7 +97,7 @@
     replica_name from;
     incarnation_id from_incarnation = 0;
     replica_name to;
-    /// The incarnation it is meant for; 0 where the sender doesn't know it.
+    /// The incarnation of the receiver that the message is addressed to; 0 if the sender does not know it.
     incarnation_id to_incarnation = 0;
     term_number term = 0;
     message_body body;
--- a/include/flaxtiller/quorum/message_codec.hpp
+++ b/include/flaxtiller/quorum/message_codec.hpp
@@ -12,8 +12,8 @@
 namespace flaxtiller::quorum
 {
 
-// Conversions for CBOR; commands and snapshots travel as byte strings. All throw nlohmann::json::exception on
-// malformed input.
+// Conversions to and from CBOR. Commands and snapshots are encoded as byte strings. The from_json functions
+// throw nlohmann::json::exception on malformed input.
 
 void to_json(nlohmann::json& j, const member_set& value);
 void from_json(const nlohmann::json& j, member_set& value);
@@ -35,8 +35,8 @@
     return bytes;
 }
 
-/// @return the value in CBOR @a bytes
-/// @throw nlohmann::json::exception if they are malformed
+/// @return the value that the CBOR @a bytes encode
+/// @throw nlohmann::json::exception if @a bytes are malformed
 template <typename Value>
 Value from_bytes(const std::string& bytes)
 {
--- a/include/flaxtiller/quorum/output.hpp
+++ b/include/flaxtiller/quorum/output.hpp
@@ -11,22 +11,23 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief What the shell must do after it fed events to a @ref replica, in the order of the members.
+/// @brief The actions that the caller of a @ref replica must carry out after an event, in the order of the
+/// data members.
 struct output
 {
-    /// May be sent at once.
+    /// Messages to send without waiting for a sync.
     std::vector<message> send_now;
-    /// Write, if set.
+    /// The hard state to write, if set.
     std::optional<hard_state> hard;
-    /// Write, if set: it takes the place of the whole log.
+    /// The snapshot to write in place of the complete log, if set.
     std::optional<snapshot> install;
-    /// Cut the log, if set: entries from this index on are void.
+    /// If set, entries from this index on must be removed from the stored log.
     std::optional<log_index> truncate_from;
-    /// Write at the log's end.
+    /// Entries to append to the stored log.
     std::vector<log_entry> append;
-    /// Send once all the above is synced, after @ref replica::on_synced.
+    /// Messages to send once all of the above is synced, after the call of @ref replica::on_synced.
     std::vector<message> send_after_sync;
-    /// Apply to the replicated state, once the above is synced.
+    /// Committed entries to apply to the replicated state, once all of the above is synced.
     std::vector<log_entry> committed;
 
     /// @return whether something must be synced
--- a/include/flaxtiller/quorum/persisted_state.hpp
+++ b/include/flaxtiller/quorum/persisted_state.hpp
@@ -9,12 +9,12 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief What a replica finds on its disk when it starts.
+/// @brief The state of a replica that is stored on disk and read when the replica starts.
 struct persisted_state
 {
     hard_state hard;
     snapshot base;
-    /// Entries after @ref base, without gaps.
+    /// The entries after @ref base, without gaps.
     std::vector<log_entry> entries;
 
     bool operator==(const persisted_state&) const = default;
--- a/include/flaxtiller/quorum/posix_file_system.hpp
+++ b/include/flaxtiller/quorum/posix_file_system.hpp
@@ -7,7 +7,7 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief The machine's own files.
+/// @brief The @ref file_system of the operating system.
 class posix_file_system
 {
   public:
@@ -21,19 +21,19 @@
         file(file&& other) noexcept;
         file& operator=(file&& other) noexcept;
 
-        /// @brief Writes all of @a bytes at the end.
+        /// @brief Appends all of @a bytes.
         std::error_code write(const std::string& bytes);
 
-        /// @brief Returns once everything written is on the disk.
+        /// @brief Returns once all written bytes are on disk.
         std::error_code sync();
 
       private:
         int m_descriptor = -1;
     };
 
-    std::vector<std::string> list(const std::string& folder, std::error_code& failed);
-    file open(const std::string& path, std::error_code& failed);
-    std::error_code read(const std::string& path, std::string& into);
+    std::vector<std::string> list(const std::string& folder, std::error_code& error);
+    file open(const std::string& path, std::error_code& error);
+    std::error_code read(const std::string& path, std::string& contents);
     std::error_code rename(const std::string& from, const std::string& to);
     std::error_code remove(const std::string& path);
     std::error_code sync_folder(const std::string& folder);
--- a/include/flaxtiller/quorum/previous_lease_check.hpp
+++ b/include/flaxtiller/quorum/previous_lease_check.hpp
@@ -9,43 +9,53 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief Why a replica that restarted gives no vote for a while, and when that wait can end early.
+/// @brief Determines when a restarted replica no longer has to wait for a lease of its previous run.
 ///
-/// Before it stopped it may have acknowledged a leader's heartbeat, and thereby be part of a lease that is
-/// still in force. Only a replica that has led without a break since then can hold that lease. So none is in
-/// force once every other voter has answered, in this replica's present life, that it doesn't lead, provided
-/// that no replica beyond these voters can lead: a majority of the voters, this one included, has the same
-/// newest members in its log. (A change of members that this majority doesn't know of was never committed,
-/// and a leader commits an entry of its own term before it holds a lease.)
+/// Before the restart, the replica may have acknowledged a leader's heartbeat and thereby be part of a lease
+/// that is still valid. Therefore the replica grants no vote until the lease must have expired. This class
+/// allows the wait to end early.
 ///
-/// A voter that came back without its disk tells by its answer that the earlier one is gone, but its empty
-/// log proves nothing about members. One that is silent, cut off or frozen may be the leader: then the wait
-/// lasts.
+/// Only a replica that has been the leader without interruption since the restart can hold such a lease. No
+/// lease is valid under these two conditions:
+/// - Every other voter has replied to a query of the current run that it is not the leader.
+/// - No replica outside of these voters can be the leader: a majority of the voters, this replica included,
+///   has the same newest member set in its log. A change of the member set that this majority does not know
+///   was never committed, and a leader commits an entry of its own term before it holds a lease.
+///
+/// The reply of a voter that lost its disk shows that its previous incarnation no longer exists, but its
+/// empty log says nothing about the member set. A voter that does not reply may be the leader, and the wait
+/// continues.
 class previous_lease_check
 {
   public:
-    /// @param life identifies the replica's present life to those that answer
+    /// @param replica_run identifies the current run of this replica in queries and replies
     explicit previous_lease_check(std::uint64_t replica_run) noexcept;
 
-    /// @return what identifies this life
+    /// @return the identifier of the current run
     std::uint64_t replica_run() const noexcept;
 
-    /// @return whether the voter still has to say that it doesn't lead
+    /// @return whether the voter has not yet replied that it is not the leader
     bool awaits_reply_from(const replica_name& voter) const;
 
-    /// @brief Takes in an answer; one to an earlier life is ignored, and one that leads voids the others.
-    /// @param members the newest members in this replica's log
+    /// @brief Records a reply. A reply to a query of a previous run is ignored. A reply of a leader discards
+    /// all earlier replies.
+    /// @param from the name of the replying replica
+    /// @param incarnation the incarnation of the replying replica
+    /// @param reply the reply
+    /// @param members the newest member set in this replica's log
     void record_reply(const replica_name& from, incarnation_id incarnation, const leadership_reply& reply,
-              const member_set& members);
+                      const member_set& members);
 
-    /// @return whether no lease can be in force that this replica's earlier life is part of
+    /// @param self the name of this replica
+    /// @param members the newest member set in this replica's log
+    /// @return whether no lease can be valid that a previous run of this replica is part of
     bool rules_out_lease(const replica_name& self, const member_set& members) const;
 
   private:
     std::uint64_t m_replica_run;
-    /// Voters that don't lead.
+    /// Replicas that replied that they are not the leader.
     std::set<replica_name> m_not_leading;
-    /// Those of them whose log holds the same members.
+    /// The voters among them whose newest member set equals this replica's.
     std::set<replica_name> m_same_members;
 };
 
--- a/include/flaxtiller/quorum/progress.hpp
+++ b/include/flaxtiller/quorum/progress.hpp
@@ -6,14 +6,16 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief What a leader knows of one other member.
+/// @brief The replication progress of one other member, as known to the leader.
 struct progress
 {
+    /// The index of the next entry to send.
     log_index next = 1;
+    /// The highest index up to which the member's synced log is known to agree with the leader's.
     log_index match = 0;
-    /// When the newest acknowledged message was sent; the lease counts from there.
+    /// The sending time of the newest message that the member acknowledged. The lease starts at this time.
     time_point acknowledged_sent_at{};
-    /// When it was last heard from at all.
+    /// The time at which the last reply was received.
     time_point last_contact{};
     time_point snapshot_sent_at{};
     bool snapshot_pending = false;
--- a/include/flaxtiller/quorum/record_codec.hpp
+++ b/include/flaxtiller/quorum/record_codec.hpp
@@ -7,7 +7,7 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief What a record of a log file holds.
+/// @brief The content type of a record in a log file.
 enum class record_kind : std::uint8_t
 {
     identity = 1,
@@ -17,15 +17,15 @@
     truncate = 5,
 };
 
-/// @brief What stands at a place of a log file.
+/// @brief The result of reading a log file at an offset.
 enum class record_state
 {
     intact_record,
-    /// The file ends within the record: it was being written when the process or machine stopped.
+    /// The file ends within the record, because the process or the instance stopped during the write.
     torn,
-    /// The record is there in full length but its checksum differs.
+    /// A checksum does not match.
     corrupt,
-    /// Nothing follows.
+    /// The offset is the end of the file.
     end,
 };
 
@@ -35,15 +35,16 @@
     record_state state = record_state::end;
     record_kind kind = record_kind::identity;
     std::string_view payload;
-    /// Bytes that it takes in the file.
+    /// The number of bytes of the record in the file, header included.
     std::size_t size = 0;
 };
 
-/// @brief Adds a record to @a file: length, kind, checksum of both, checksum of the payload, payload.
+/// @brief Appends a record to @a file: length, kind, checksum of length and kind, checksum of the payload,
+/// and payload.
 void append_record(std::string& file, record_kind kind, std::string_view payload);
 
-/// @brief Reads the record at @a offset. A length that can't be trusted is `corrupt`, never `torn`, since the
-/// header has a checksum of its own.
+/// @brief Reads the record at @a offset. The header has a checksum of its own, so that a record with a
+/// damaged length is reported as `corrupt` and not as `torn`.
 record read_record(std::string_view file, std::size_t offset);
 
 } // namespace flaxtiller::quorum
--- a/include/flaxtiller/quorum/replica.hpp
+++ b/include/flaxtiller/quorum/replica.hpp
@@ -4,9 +4,9 @@
 #include <flaxtiller/core/time_point.hpp>
 #include <flaxtiller/quorum/output.hpp>
 #include <flaxtiller/quorum/persisted_state.hpp>
+#include <flaxtiller/quorum/previous_lease_check.hpp>
 #include <flaxtiller/quorum/progress.hpp>
 #include <flaxtiller/quorum/replicated_log.hpp>
-#include <flaxtiller/quorum/previous_lease_check.hpp>
 #include <flaxtiller/quorum/timing.hpp>
 
 #include <map>
@@ -19,68 +19,78 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief The part a replica plays in its term.
+/// @brief The role of a replica in the current term.
 enum class role
 {
     follower,
-    /// Asks whether it would be elected, without raising the term.
+    /// Asks the voters whether they would elect it, without incrementing the term.
     pre_candidate,
     candidate,
     leader,
 };
 
-/// @brief One replica of a replicated log: election with pre-vote and check-quorum, replication, lease,
-/// snapshot and change of members one at a time.
+/// @brief One replica of a replicated log, based on the published Raft algorithm: leader election with
+/// pre-vote and check-quorum, replication, leader lease, snapshots, and changes of one member at a time.
 ///
-/// Deterministic: no threads, files, sockets or clock. Feed it events with the present time, then take the
-/// @ref output, write and sync what it says, call @ref on_synced, and send the rest. Based on the published
-/// Raft algorithm; what differs (incarnations, known commit, learners) is in docs/design/0003-quorum.md.
+/// The class is deterministic and uses no threads, files, sockets or clock. The caller passes events with the
+/// current time, takes the @ref output, sends the messages that need no sync, writes and syncs the changes,
+/// calls @ref on_synced, sends the remaining messages, and applies the committed entries. The differences to
+/// Raft (incarnations, known commit index, learners) are described in docs/design/0003-quorum.md.
 class replica
 {
   public:
-    /// @param name this replica's name
-    /// @param incarnation its data folder's identity
-    /// @param stored what was found on disk
-    /// @param seed for the spread of election timeouts
+    /// @param name the name of this replica
+    /// @param incarnation the identity of its data folder
+    /// @param limits the time limits
+    /// @param stored the state read from disk
+    /// @param seed the seed of the random election timeouts
+    /// @param now the current time
     replica(replica_name name, incarnation_id incarnation, timing limits, const persisted_state& stored,
             std::uint64_t seed, time_point now);
 
     // ------------------------------------------------------------------ events
 
-    /// @brief Time has passed. Call at least every heartbeat.
+    /// @brief Handles timeouts. Must be called at least once per heartbeat interval.
     void tick(time_point now);
 
-    /// @brief A message arrived.
+    /// @brief Handles a message of another replica.
     void receive(const message& received, time_point now);
 
-    /// @brief Everything of the last output is on disk.
+    /// @brief Reports that all changes of the last output are on disk.
     void on_synced();
 
-    /// @brief Asks for a command to be put into the log.
-    /// @return its index, or nothing unless this replica leads
+    /// @brief Appends a command to the log.
+    /// @return the index of the entry, or nothing if this replica is not the leader
     std::optional<log_index> propose(std::string command, time_point now);
 
-    /// @brief Adds @a name as a learner, in place of an earlier incarnation; it is promoted once caught up.
+    /// @brief Adds the replica @a name as a learner and replaces an earlier incarnation of it. The learner is
+    /// promoted to a voter once its log has caught up.
+    /// @return @ref errc::not_leader, @ref errc::not_committed if another change is pending, or no error
     std::error_code add_member(const replica_name& name, incarnation_id incarnation, time_point now);
 
     /// @brief Removes a member.
+    /// @return @ref errc::not_leader, @ref errc::not_committed if another change is pending,
+    /// @ref errc::out_of_range if no voter would remain, or no error
     std::error_code remove_member(const replica_name& name, time_point now);
 
-    /// @brief The state after @a applied is @a state: entries up to there may be dropped.
+    /// @brief Replaces the entries up to @a applied by a snapshot.
+    /// @param applied the index of the last entry that @a state includes
+    /// @param state the serialized replicated state
     void compact(log_index applied, std::string state);
 
     // ------------------------------------------------------------------ results
 
-    /// @return what must be done now; empty until the next event
+    /// @return the actions to carry out; empty until the next event
     output take_output();
 
-    /// @return whether it leads and no other can lead now; only then may it answer from its state
+    /// @return whether this replica is the leader and no other replica can be a leader now. Only then may
+    /// reads be answered from its state.
     bool has_lease(time_point now) const;
 
-    /// @return whether it gives no vote yet, since its earlier life may be part of a lease
+    /// @return whether this replica grants no vote yet, because its previous run may be part of a valid lease
     bool awaits_previous_lease_end() const noexcept;
 
-    /// @return whether it leads and an entry of its own term is committed
+    /// @return whether this replica is the leader and an entry of its own term is committed
     bool is_ready_leader() const noexcept;
 
     // ------------------------------------------------------------------ inspection
@@ -90,15 +100,16 @@
     log_index commit_index() const noexcept;
     const replica_name& name() const noexcept;
     incarnation_id incarnation() const noexcept;
-    /// @return the leader of this term, or an empty name
+    /// @return the leader of the current term, or an empty name if it is unknown
     const replica_name& leader() const noexcept;
     const replicated_log& log() const noexcept;
     const member_set& members() const noexcept;
-    /// @return what it knows of the other members, if it leads
+    /// @return the replication progress of the other members; empty unless this replica is the leader
     const std::map<replica_name, progress>& others() const noexcept;
-    /// @return incarnations that spoke but aren't members, by name: replaced or wiped replicas
+    /// @return the incarnations that sent a message but are not members, by name: replicas that were replaced
+    /// or lost their disk
     const std::map<replica_name, incarnation_id>& non_members() const noexcept;
-    /// @return when it next needs @ref tick
+    /// @return the time at which @ref tick must be called next
     time_point next_tick() const noexcept;
 
   private:
@@ -154,10 +165,11 @@
     std::map<replica_name, progress> m_progress;
     std::map<replica_name, incarnation_id> m_non_members;
 
-    /// Set from the start until a leader was heard, or an earlier life's lease is ruled out or over.
+    /// Set from the start until a message of a leader arrives, or a lease of a previous run is ruled out or
+    /// has expired.
     std::optional<previous_lease_check> m_previous_lease_check;
     time_point m_query_due{};
-    /// Until then an election that failed is tried again soon.
+    /// Before this time, a failed election is retried after a short delay.
     time_point m_early_election_until{};
     time_point m_last_leader_contact{};
     time_point m_election_deadline{};
--- a/include/flaxtiller/quorum/replicated_log.hpp
+++ b/include/flaxtiller/quorum/replicated_log.hpp
@@ -10,7 +10,7 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief The log as a replica holds it in memory: a snapshot and the entries after it.
+/// @brief A replica's log in memory: a snapshot and the entries that follow it.
 class replicated_log
 {
   public:
@@ -20,33 +20,36 @@
     log_index last_index() const noexcept;
     term_number last_term() const noexcept;
 
-    /// @return the term of the entry at @a index, or nothing where it isn't held
+    /// @return the term of the entry at @a index, or nothing if the log does not hold this entry
     std::optional<term_number> term_at(log_index index) const noexcept;
 
-    /// @return the entry at @a index; it must be held
+    /// @return the entry at @a index, which the log must hold
     const log_entry& at(log_index index) const;
 
-    /// @return up to @a most entries from @a from on, and no more than about @a most_bytes of commands
+    /// @param from the index of the first entry
+    /// @param most the maximum number of entries
+    /// @param most_bytes once the commands of the entries exceed this size, no further entry is added
+    /// @return consecutive entries
     std::vector<log_entry> slice(log_index from, std::size_t most, std::size_t most_bytes) const;
 
-    /// @brief Adds an entry whose index follows the last.
+    /// @brief Appends an entry. Its index must follow the last index.
     void append(log_entry entry);
 
-    /// @brief Drops the entries from @a from on.
+    /// @brief Removes the entries from index @a from on.
     void truncate_from(log_index from);
 
-    /// @brief Puts a snapshot in the place of the entries up to its index.
+    /// @brief Replaces the entries up to the index of @a base by @a base.
     void compact(snapshot base);
 
-    /// @brief Drops everything for @a base.
+    /// @brief Replaces the complete log by @a base.
     void reset(snapshot base);
 
     const snapshot& base() const noexcept;
 
-    /// @return the last member set in the log
+    /// @return the newest member set in the log, committed or not
     const member_set& members() const noexcept;
 
-    /// @return the index of the last member set, or that of the snapshot
+    /// @return the index of the entry with the newest member set, or of the snapshot if no entry holds one
     log_index members_index() const noexcept;
 
   private:
--- a/include/flaxtiller/quorum/replicated_state_machine.hpp
+++ b/include/flaxtiller/quorum/replicated_state_machine.hpp
@@ -14,7 +14,7 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief What a machine's state must offer: apply a command, and turn into bytes and back.
+/// @brief The operations of a replicated state: application of a command, serialization and deserialization.
 template <typename State>
 concept replicated_state = requires(State& state, const std::string& bytes)
 {
@@ -25,21 +25,22 @@
     // clang-format on
 };
 
-/// @brief A replica together with its files and the state that its committed entries make.
+/// @brief A @ref replica with its storage and the state that results from its committed entries.
 ///
-/// Not thread-safe: feed it from one strand. Several commands proposed before @ref pump share one sync.
+/// The class is not thread-safe; all calls must come from one strand. Commands that are proposed before the
+/// same call of @ref pump share one sync.
 template <replicated_state State, file_system FileSystem>
 class replicated_state_machine
 {
   public:
-    /// Told the result of a command, or why there is none.
+    /// Receives the result of a command, or the error that prevented it.
     using completion = std::function<void(std::error_code, const std::string&)>;
     using sender = std::function<void(const message&)>;
 
-    /// Entries after which the log is compacted.
+    /// The number of applied entries after which the log is compacted.
     static constexpr log_index compact_after = 2000;
-    /// Bytes of the file after which the log is compacted, unless the snapshot itself is a third of them:
-    /// small enough that the old and the new file fit on a disk of 64 MB.
+    /// The file size in bytes above which the log is compacted, unless the snapshot makes up a third of the
+    /// file or more. The limit is low enough for the old and the new file to fit on a disk of 64 MB.
     static constexpr std::uint64_t compact_after_bytes = std::uint64_t{8} << 20U;
 
     replicated_state_machine(FileSystem& files, std::string folder, replica_name name, timing limits)
@@ -47,7 +48,11 @@
     {
     }
 
-    /// @brief Reads the folder and starts the replica.
+    /// @brief Reads the data folder and starts the replica.
+    /// @param fresh_incarnation the incarnation to use if the folder is empty
+    /// @param seed the seed of the random election timeouts
+    /// @param now the current time
+    /// @return the storage error, or no error
     std::error_code open(incarnation_id fresh_incarnation, std::uint64_t seed, time_point now)
     {
         m_seed = seed;
@@ -55,19 +60,23 @@
         return reopen(now);
     }
 
-    /// @brief Makes this replica the only member of a new log. Only for an empty folder.
+    /// @brief Bootstraps a new log with this replica as the only member. The folder must be empty.
     std::error_code found(time_point now)
     {
-        member_set only;
+        member_set single_member;
         if (m_replica)
         {
-            only.members[m_name] = member{m_name, m_replica->incarnation(), true};
+            single_member.members[m_name] = member{m_name, m_replica->incarnation(), true};
         }
-        return found(std::move(only), now);
+        return found(std::move(single_member), now);
     }
 
-    /// @brief Makes the first snapshot of a new log with these members, this one among them. Only for an
-    /// empty folder; all founders must name the same members and incarnations.
+    /// @brief Bootstraps a new log: writes a first snapshot that holds the member set and an empty state. The
+    /// folder must be empty.
+    /// @param founders the first members, this replica included. All of them must be started with the same
+    /// member set, incarnations included.
+    /// @param now the current time
+    /// @return @ref errc::storage_foreign if the log is not empty, another storage error, or no error
     std::error_code found(member_set founders, time_point now)
     {
         if (!m_replica || m_replica->log().last_index() > 0 || m_replica->term() > 0)
@@ -79,10 +88,10 @@
         base.last_term = 1;
         base.members = std::move(founders);
         base.state = State{}.serialize();
-        output first;
-        first.install = base;
-        first.hard = hard_state{1, {}, 1};
-        if (m_store->write(first))
+        output initial;
+        initial.install = base;
+        initial.hard = hard_state{1, {}, 1};
+        if (m_store->write(initial))
         {
             return errc::storage_failed;
         }
@@ -110,7 +119,12 @@
         }
     }
 
-    /// @brief Puts a command into the log; @a done is called once it is applied, or can't be known to be.
+    /// @brief Appends a command to the log.
+    /// @param command the command for the replicated state
+    /// @param done called with the result once the command is applied, with @ref errc::not_leader if this
+    /// replica cannot accept it, or with @ref errc::not_committed if it is unknown whether the command will
+    /// be committed
+    /// @param now the current time
     void propose(std::string command, completion done, time_point now)
     {
         const auto index = m_replica ? m_replica->propose(std::move(command), now) : std::nullopt;
@@ -119,25 +133,26 @@
             done(errc::not_leader, {});
             return;
         }
-        m_waiting.emplace(*index, waiting{m_replica->term(), std::move(done)});
+        m_pending_commands.emplace(*index, pending_command{m_replica->term(), std::move(done)});
     }
 
-    /// @brief Carries out what the replica wants: writes, syncs, sends, applies.
+    /// @brief Carries out the pending actions of the replica: writes, syncs, sends messages and applies
+    /// committed entries.
     void pump(const sender& send, time_point now)
     {
         while (m_replica)
         {
-            output wanted = m_replica->take_output();
-            const bool nothing = wanted.send_now.empty() && !wanted.must_sync() &&
-                                 wanted.send_after_sync.empty() && wanted.committed.empty();
-            if (nothing)
+            output actions = m_replica->take_output();
+            const bool is_empty = actions.send_now.empty() && !actions.must_sync() &&
+                                  actions.send_after_sync.empty() && actions.committed.empty();
+            if (is_empty)
             {
                 break;
             }
-            send_all(wanted.send_now, send);
-            if (wanted.must_sync())
+            send_all(actions.send_now, send);
+            if (actions.must_sync())
             {
-                if (m_store->write(wanted))
+                if (m_store->write(actions))
                 {
                     fail(now);
                     return;
@@ -145,14 +160,14 @@
                 m_replica->on_synced();
                 ++m_syncs;
             }
-            send_all(wanted.send_after_sync, send);
-            apply(wanted);
+            send_all(actions.send_after_sync, send);
+            apply(actions);
         }
         fail_pending_commands();
         compact_if_needed(now);
     }
 
-    /// @return the replica, or nothing while its storage fails
+    /// @return the replica, or a null pointer while its storage fails
     replica* node() noexcept
     {
         return m_replica ? &*m_replica : nullptr;
@@ -163,25 +178,25 @@
         return m_state;
     }
 
-    /// @return the index of the last entry that the state holds
+    /// @return the index of the last entry that was applied to the state
     log_index applied() const noexcept
     {
         return m_applied;
     }
 
-    /// @return whether the state is the present one and no other replica can lead
+    /// @return whether the state includes all committed entries and no other replica can be the leader
     bool is_authoritative(time_point now) const
     {
         return m_replica && m_replica->has_lease(now) && m_applied == m_replica->commit_index();
     }
 
-    /// @return the last error of the storage
+    /// @return the current error of the storage; no error once it was reopened successfully
     std::error_code storage_error() const noexcept
     {
         return m_storage_error;
     }
 
-    /// @return a text on what was repaired on opening; empty if nothing
+    /// @return a message about a repair that was necessary on opening; empty if there was none
     const std::string& storage_warning() const noexcept
     {
         return m_storage_warning;
@@ -200,7 +215,7 @@
   private:
     static constexpr duration reopen_after = duration::from_ms(1000);
 
-    struct waiting
+    struct pending_command
     {
         term_number term;
         completion done;
@@ -226,7 +241,7 @@
 
     void fail(time_point now)
     {
-        // What is in memory may not be on disk: start again from what the disk holds.
+        // The state in memory may not be on disk. The replica starts again from the stored state.
         m_storage_error = errc::storage_failed;
         m_replica.reset();
         m_reopen_at = now + reopen_after;
@@ -241,14 +256,14 @@
         }
     }
 
-    void apply(const output& wanted)
+    void apply(const output& actions)
     {
-        if (wanted.install)
+        if (actions.install)
         {
-            m_state = State::deserialize(wanted.install->state);
-            m_applied = wanted.install->last_index;
+            m_state = State::deserialize(actions.install->state);
+            m_applied = actions.install->last_index;
         }
-        for (const log_entry& entry : wanted.committed)
+        for (const log_entry& entry : actions.committed)
         {
             std::string result;
             if (entry.kind == entry_kind::command)
@@ -256,28 +271,29 @@
                 result = m_state.apply_bytes(entry.command);
             }
             m_applied = entry.index;
-            const auto found = m_waiting.find(entry.index);
-            if (found == m_waiting.end())
+            const auto found = m_pending_commands.find(entry.index);
+            if (found == m_pending_commands.end())
             {
                 continue;
             }
-            const waiting waiter = std::move(found->second);
-            m_waiting.erase(found);
-            const bool same = waiter.term == entry.term;
-            waiter.done(same ? std::error_code{} : make_error_code(errc::not_committed), result);
+            const pending_command pending = std::move(found->second);
+            m_pending_commands.erase(found);
+            const bool same_entry = pending.term == entry.term;
+            pending.done(same_entry ? std::error_code{} : make_error_code(errc::not_committed), result);
         }
     }
 
-    /// Commands of a term in which this replica no longer leads may or may not be committed by another.
+    /// Completes the pending commands unless this replica is the leader: the next leader may or may not
+    /// commit them.
     void fail_pending_commands()
     {
         if (m_replica && m_replica->role() == role::leader)
         {
             return;
         }
-        for (auto& [index, waiter] : std::exchange(m_waiting, {}))
+        for (auto& [index, pending] : std::exchange(m_pending_commands, {}))
         {
-            waiter.done(errc::not_committed, {});
+            pending.done(errc::not_committed, {});
         }
     }
 
@@ -311,7 +327,7 @@
     std::optional<replica> m_replica;
     State m_state;
     log_index m_applied = 0;
-    std::map<log_index, waiting> m_waiting;
+    std::map<log_index, pending_command> m_pending_commands;
     std::error_code m_storage_error;
     std::string m_storage_warning;
     time_point m_reopen_at{};
--- a/include/flaxtiller/quorum/snapshot.hpp
+++ b/include/flaxtiller/quorum/snapshot.hpp
@@ -8,7 +8,8 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief The replicated state after the entry @ref last_index, in place of the entries up to it.
+/// @brief The replicated state after the entry @ref last_index. A snapshot replaces the entries up to this
+/// index.
 struct snapshot
 {
     log_index last_index = 0;
--- a/include/flaxtiller/quorum/timing.hpp
+++ b/include/flaxtiller/quorum/timing.hpp
@@ -5,23 +5,26 @@
 namespace flaxtiller::quorum
 {
 
-/// @brief The time limits of election and lease. All replicas must use the same.
+/// @brief The time limits of elections, leases and replication. All replicas must use the same values.
 struct timing
 {
+    /// The interval of the leader's heartbeats.
     duration heartbeat = duration::from_ms(100);
-    /// A follower that heard from a leader grants no vote for this long.
+    /// The minimum election timeout. A follower grants no vote for this long after a message of a leader.
     duration election_min = duration::from_ms(500);
+    /// The maximum election timeout. A leader that receives no reply of a majority for this long steps down.
     duration election_max = duration::from_ms(1000);
-    /// A replica that restarted asks the others this often whether they lead: a few round trips between
-    /// regions.
+    /// The interval at which a restarted replica asks the other voters whether they are the leader: a few
+    /// round trips between regions.
     duration leadership_query_interval = duration::from_ms(50);
-    /// Once no earlier lease can be in force, restarted replicas stand for election within this time, one
-    /// after the other, so that one of them is elected before the next one stands: for each voter the time of
-    /// two round trips between regions, and of the work.
+    /// Once no earlier lease can be valid, the restarted replicas start elections within this time, one after
+    /// the other, so that one replica is elected before the next one becomes a candidate. The value gives
+    /// each voter the time of two round trips between regions and of the processing.
     duration early_election_spread = duration::from_ms(100);
-    /// Bound on how far the rates of two monotonic clocks differ; the lease is shorter by twice this share.
+    /// The maximum relative difference between the rates of two monotonic clocks. The lease is shortened by
+    /// twice this share.
     double clock_drift = 0.01;
-    /// A snapshot that wasn't acknowledged is sent again after this long.
+    /// An unacknowledged snapshot is sent again after this time.
     duration snapshot_retry = duration::from_ms(3000);
 
     bool operator==(const timing&) const = default;
--- a/src/quorum/message_codec.cpp
+++ b/src/quorum/message_codec.cpp
@@ -19,7 +19,7 @@
     return {bytes.begin(), bytes.end()};
 }
 
-/// Names of the message kinds on the wire, in the order of message_body.
+/// The names of the message kinds on the wire, in the order of the alternatives of message_body.
 constexpr const char* kind_names[] = {"vote_request",    "vote_reply",      "append_request",
                                       "append_reply",    "install_request", "leadership_query",
                                       "leadership_reply"};
--- a/src/quorum/posix_file_system.cpp
+++ b/src/quorum/posix_file_system.cpp
@@ -65,10 +65,10 @@
     return ::fdatasync(m_descriptor) == 0 ? std::error_code{} : last_error();
 }
 
-std::vector<std::string> posix_file_system::list(const std::string& folder, std::error_code& failed)
+std::vector<std::string> posix_file_system::list(const std::string& folder, std::error_code& error)
 {
     std::vector<std::string> names;
-    for (const auto& entry : std::filesystem::directory_iterator(folder, failed))
+    for (const auto& entry : std::filesystem::directory_iterator(folder, error))
     {
         names.push_back(entry.path().filename().string());
     }
@@ -76,22 +76,22 @@
     return names;
 }
 
-posix_file_system::file posix_file_system::open(const std::string& path, std::error_code& failed)
+posix_file_system::file posix_file_system::open(const std::string& path, std::error_code& error)
 {
     constexpr int owner_only = 0600;
     const int descriptor = ::open(path.c_str(), O_CREAT | O_WRONLY | O_APPEND | O_CLOEXEC, owner_only);
-    failed = descriptor < 0 ? last_error() : std::error_code{};
+    error = descriptor < 0 ? last_error() : std::error_code{};
     return file(descriptor);
 }
 
-std::error_code posix_file_system::read(const std::string& path, std::string& into)
+std::error_code posix_file_system::read(const std::string& path, std::string& contents)
 {
     std::ifstream stream(path, std::ios::binary);
     if (!stream)
     {
         return std::make_error_code(std::errc::no_such_file_or_directory);
     }
-    into.assign(std::istreambuf_iterator<char>(stream), {});
+    contents.assign(std::istreambuf_iterator<char>(stream), {});
     return stream.bad() ? std::make_error_code(std::errc::io_error) : std::error_code{};
 }
 
@@ -112,9 +112,9 @@
     {
         return last_error();
     }
-    const std::error_code failed = ::fsync(descriptor) == 0 ? std::error_code{} : last_error();
+    const std::error_code error = ::fsync(descriptor) == 0 ? std::error_code{} : last_error();
     ::close(descriptor);
-    return failed;
+    return error;
 }
 
 } // namespace flaxtiller::quorum
--- a/src/quorum/previous_lease_check.cpp
+++ b/src/quorum/previous_lease_check.cpp
@@ -19,8 +19,8 @@
     return m_not_leading.count(voter) == 0;
 }
 
-void previous_lease_check::record_reply(const replica_name& from, incarnation_id incarnation, const leadership_reply& reply,
-                        const member_set& members)
+void previous_lease_check::record_reply(const replica_name& from, incarnation_id incarnation,
+                                        const leadership_reply& reply, const member_set& members)
 {
     if (reply.replica_run != m_replica_run)
     {
--- a/src/quorum/record_codec.cpp
+++ b/src/quorum/record_codec.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// Little-endian layout: u32 length, u8 kind, u32 header checksum, u64 payload checksum.
+// The header layout, little-endian: u32 length, u8 kind, u32 header checksum, u64 payload checksum.
 constexpr std::size_t length_at = 0;
 constexpr std::size_t kind_at = 4;
 constexpr std::size_t header_check_at = 5;
@@ -53,12 +53,12 @@
 record read_record(std::string_view file, std::size_t offset)
 {
     record found;
-    const std::size_t left = file.size() - offset;
-    if (left == 0)
+    const std::size_t remaining = file.size() - offset;
+    if (remaining == 0)
     {
         return found;
     }
-    if (left < header_size)
+    if (remaining < header_size)
     {
         found.state = record_state::torn;
         return found;
@@ -70,7 +70,7 @@
         return found;
     }
     const std::size_t length = load<std::uint32_t>(file, offset + length_at);
-    if (left - header_size < length)
+    if (remaining - header_size < length)
     {
         found.state = record_state::torn;
         return found;
@@ -78,8 +78,9 @@
     found.kind = static_cast<record_kind>(load<std::uint8_t>(file, offset + kind_at));
     found.payload = file.substr(offset + header_size, length);
     found.size = header_size + length;
-    const bool intact = load<std::uint64_t>(file, offset + payload_check_at) == hash64(found.payload);
-    found.state = intact ? record_state::intact_record : record_state::corrupt;
+    const bool checksum_matches =
+        load<std::uint64_t>(file, offset + payload_check_at) == hash64(found.payload);
+    found.state = checksum_matches ? record_state::intact_record : record_state::corrupt;
     return found;
 }
 
--- a/src/quorum/replica.cpp
+++ b/src/quorum/replica.cpp
@@ -14,9 +14,10 @@
                  std::uint64_t seed, time_point now)
     : m_name(std::move(name)), m_incarnation(incarnation), m_timing(limits), m_random(seed),
       m_hard(stored.hard), m_log(stored.base, stored.entries), m_commit(stored.base.last_index),
-      m_synced(m_log.last_index()), m_emitted(stored.base.last_index), m_previous_lease_check(std::in_place, m_random()),
-      m_query_due(now),
-      // It may have heard from a leader just before it stopped, so it counts as having heard one now.
+      m_synced(m_log.last_index()), m_emitted(stored.base.last_index),
+      m_previous_lease_check(std::in_place, m_random()), m_query_due(now),
+      // The previous run may have received a message of a leader just before it ended. The time of the start
+      // is the latest possible time of such a message.
       m_last_leader_contact(now)
 {
     reset_election_deadline(now);
@@ -98,7 +99,7 @@
 
 bool replica::has_lease(time_point now) const
 {
-    // One that removes itself is no voter that a restarted replica would ask.
+    // A restarted replica does not query a leader that has removed itself from the voters.
     if (!is_ready_leader() || !m_log.members().is_voter(m_name, m_incarnation))
     {
         return false;
@@ -117,7 +118,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// time
+// timeouts
 // ---------------------------------------------------------------------------------------------------------
 
 void replica::tick(time_point now)
@@ -167,14 +168,14 @@
 
 void replica::check_quorum(time_point now)
 {
-    const bool alive = m_log.members().majority_of(
+    const bool majority_reachable = m_log.members().majority_of(
         [&](const member& item)
         {
             const auto found = m_progress.find(item.name);
             return item.name == m_name ||
                    (found != m_progress.end() && now - found->second.last_contact < m_timing.election_max);
         });
-    if (!alive)
+    if (!majority_reachable)
     {
         become_follower(m_hard.term, {}, now);
     }
@@ -207,7 +208,7 @@
         on_vote_request(received, *vote, now);
         return;
     }
-    // These tell nothing about terms: one that only asks unseats nobody.
+    // Leadership queries and replies do not update the term, so that a query cannot depose a leader.
     if (const auto* query = std::get_if<leadership_query>(&received.body))
     {
         on_leadership_query(received, *query);
@@ -249,7 +250,7 @@
     // A pre-vote refers to the term that the candidate would start.
     const term_number term = is_pre_vote ? m_hard.term + 1 : m_hard.term;
     message out{m_name, m_incarnation, to, to_incarnation, term, std::move(body)};
-    // Nothing may be said under a term or vote that isn't on disk yet.
+    // No message may be sent under a term or vote that is not on disk yet.
     const bool must_wait = after_sync || m_output.hard.has_value();
     auto& queue = must_wait ? m_output.send_after_sync : m_output.send_now;
     queue.push_back(std::move(out));
@@ -261,7 +262,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// following
+// follower
 // ---------------------------------------------------------------------------------------------------------
 
 void replica::record_known_commit(log_index leader_commit)
@@ -269,7 +270,8 @@
     if (leader_commit > m_hard.known_commit)
     {
         m_hard.known_commit = leader_commit;
-        // Written along with whatever is written next; no sync of its own.
+        // The known commit index is written together with the next change and does not cause a sync of its
+        // own.
         if (m_output.must_sync())
         {
             persist_hard();
--- a/src/quorum/replica_election.cpp
+++ b/src/quorum/replica_election.cpp
@@ -1,4 +1,4 @@
-// How a replica comes to lead: the wait after a restart, standing for election, and giving votes.
+// Leader election of a replica: the wait after a restart, elections, and votes.
 
 #include <flaxtiller/quorum/replica.hpp>
 
@@ -9,14 +9,14 @@
 {
 
 // ---------------------------------------------------------------------------------------------------------
-// after a restart
+// wait after a restart
 // ---------------------------------------------------------------------------------------------------------
 
 void replica::query_leadership(time_point now)
 {
     if (!has_recent_leader_contact(now))
     {
-        // Whatever lease its earlier life was part of is over.
+        // A lease that the previous run was part of has expired.
         m_previous_lease_check.reset();
         return;
     }
@@ -25,7 +25,7 @@
     {
         if (name != m_name && item.voter && m_previous_lease_check->awaits_reply_from(name))
         {
-            // To whoever lives under that name now, be it on another disk.
+            // Incarnation 0 addresses the replica also if it has a new data folder.
             send(name, 0, leadership_query{m_previous_lease_check->replica_run()}, false);
         }
     }
@@ -54,9 +54,10 @@
     m_election_deadline = std::min(m_election_deadline, now + early_election_delay());
 }
 
-/// The voters stand one after the other, in an order that all know, with a little that is drawn between them.
-/// Drawn alone, two of six often stood at once and split the votes: 0.6 s until one of six leads after all
-/// lost power, on instances that are busy with one another's links.
+/// Returns the delay until this replica starts its election after a restart. The voters start one after the
+/// other in the order of their names, each with a small random addition. With random delays alone, two of six
+/// voters often started at the same time and split the votes: after a loss of power of all six, it took 0.6 s
+/// to elect a leader on instances that were busy with the establishment of their links.
 duration replica::early_election_delay()
 {
     constexpr double drawn_share = 0.25;
@@ -97,12 +98,13 @@
     reset_election_deadline(now);
     if (now < m_early_election_until)
     {
-        // The others may not have ruled out an earlier lease yet: answers to their queries are on their way.
+        // The other voters may not have ruled out an earlier lease yet, because the replies to their queries
+        // are still in transit.
         m_election_deadline = now + m_timing.leadership_query_interval + early_election_delay();
     }
     const bool may_lead = m_log.members().is_voter(m_name, m_incarnation);
-    const bool lost_entries = m_log.last_index() < m_hard.known_commit;
-    if (!may_lead || lost_entries)
+    const bool lacks_committed_entries = m_log.last_index() < m_hard.known_commit;
+    if (!may_lead || lacks_committed_entries)
     {
         return;
     }
@@ -170,7 +172,7 @@
 
 void replica::on_vote_request(const message& received, const vote_request& body, time_point now)
 {
-    const auto answer = [&](bool granted)
+    const auto reply = [&](bool granted)
     {
         send(received.from, received.from_incarnation, vote_reply{body.pre_vote, granted},
              granted && !body.pre_vote);
@@ -178,12 +180,12 @@
 
     if (m_role == role::leader || has_recent_leader_contact(now))
     {
-        answer(false);
+        reply(false);
         return;
     }
     if (body.pre_vote)
     {
-        answer(received.term > m_hard.term && is_up_to_date(body));
+        reply(received.term > m_hard.term && is_up_to_date(body));
         return;
     }
     if (received.term > m_hard.term)
@@ -199,7 +201,7 @@
         m_early_election_until = now;
         reset_election_deadline(now);
     }
-    answer(granted);
+    reply(granted);
 }
 
 void replica::on_vote_reply(const message& received, const vote_reply& body, time_point now)
--- a/src/quorum/replica_leading.cpp
+++ b/src/quorum/replica_leading.cpp
@@ -1,4 +1,4 @@
-// What a replica does as the leader: replication, snapshots, commitment, change of members.
+// The leader's part of a replica: replication, snapshots, commitment and changes of the member set.
 
 #include <flaxtiller/quorum/replica.hpp>
 
@@ -17,7 +17,7 @@
 } // namespace
 
 // ---------------------------------------------------------------------------------------------------------
-// leading
+// replication
 // ---------------------------------------------------------------------------------------------------------
 
 std::optional<log_index> replica::propose(std::string command, time_point now)
@@ -135,7 +135,8 @@
     request.commit = m_commit;
     request.sent_at_us = now.since_start().us();
     request.entries = m_log.slice(state.next, most_entries_per_append, most_bytes_per_append);
-    // Optimistic: the next message continues after these; a lost one is found by the next heartbeat.
+    // The request is assumed to arrive, and the next one continues after its entries. The reply to the next
+    // heartbeat reveals a lost request.
     state.next += static_cast<log_index>(request.entries.size());
     send(to.name, to.incarnation, std::move(request), false);
 }
@@ -216,7 +217,7 @@
     {
         return errc::not_leader;
     }
-    // One change at a time, and only once an entry of this term is committed.
+    // Only one change may be pending, and an entry of this term must be committed first.
     if (!is_ready_leader() || m_log.members_index() > m_commit)
     {
         return errc::not_committed;
@@ -276,8 +277,8 @@
             continue;
         }
         const progress& state = found->second;
-        const bool alive = now - state.last_contact < m_timing.election_min;
-        if (alive && state.match > 0 && state.match >= m_commit)
+        const bool reachable = now - state.last_contact < m_timing.election_min;
+        if (reachable && state.match > 0 && state.match >= m_commit)
         {
             member_set next = m_log.members();
             next.members[name].voter = true;
--- a/tests/src/faulty_file_system.hpp
+++ b/tests/src/faulty_file_system.hpp
@@ -10,11 +10,12 @@
 namespace flaxtiller::test
 {
 
-/// Files in memory that fail on demand, and forget what wasn't synced when the machine "stops".
+/// @brief A file system in memory that fails on demand and simulates a loss of power, in which unsynced bytes
+/// are lost.
 class faulty_file_system
 {
   public:
-    struct content
+    struct file_content
     {
         std::string bytes;
         std::size_t synced = 0;
@@ -23,17 +24,17 @@
     struct file
     {
         faulty_file_system* owner = nullptr;
-        std::shared_ptr<content> held;
+        std::shared_ptr<file_content> data;
 
         std::error_code write(const std::string& bytes)
         {
             if (owner->fail_writes)
             {
-                // A full disk takes a part of what is written.
-                held->bytes += bytes.substr(0, bytes.size() / 2);
+                // A full disk accepts a part of the bytes.
+                data->bytes += bytes.substr(0, bytes.size() / 2);
                 return std::make_error_code(std::errc::no_space_on_device);
             }
-            held->bytes += bytes;
+            data->bytes += bytes;
             return {};
         }
 
@@ -43,17 +44,17 @@
             {
                 return std::make_error_code(std::errc::io_error);
             }
-            held->synced = held->bytes.size();
+            data->synced = data->bytes.size();
             ++owner->syncs;
             return {};
         }
     };
 
-    std::vector<std::string> list(const std::string& folder, std::error_code& failed)
+    std::vector<std::string> list(const std::string& folder, std::error_code& error)
     {
-        failed = fail_reads ? std::make_error_code(std::errc::io_error) : std::error_code{};
+        error = fail_reads ? std::make_error_code(std::errc::io_error) : std::error_code{};
         std::vector<std::string> names;
-        for (const auto& [path, held] : files)
+        for (const auto& [path, data] : files)
         {
             if (path.rfind(folder + "/", 0) == 0)
             {
@@ -63,25 +64,25 @@
         return names;
     }
 
-    file open(const std::string& path, std::error_code& failed)
+    file open(const std::string& path, std::error_code& error)
     {
-        failed = fail_writes ? std::make_error_code(std::errc::no_space_on_device) : std::error_code{};
-        auto& held = files[path];
-        if (!held)
+        error = fail_writes ? std::make_error_code(std::errc::no_space_on_device) : std::error_code{};
+        auto& data = files[path];
+        if (!data)
         {
-            held = std::make_shared<content>();
+            data = std::make_shared<file_content>();
         }
-        return {this, held};
+        return {this, data};
     }
 
-    std::error_code read(const std::string& path, std::string& into)
+    std::error_code read(const std::string& path, std::string& contents)
     {
         const auto found = files.find(path);
         if (found == files.end() || fail_reads)
         {
             return std::make_error_code(std::errc::io_error);
         }
-        into = found->second->bytes;
+        contents = found->second->bytes;
         return {};
     }
 
@@ -103,22 +104,23 @@
         return {};
     }
 
-    /// The machine stops: of the last write, @a kept bytes beyond the synced ones made it to the disk.
-    void stop_machine(std::size_t kept = 0)
+    /// @brief Simulates a loss of power.
+    /// @param kept_bytes the number of unsynced bytes per file that remain
+    void lose_power(std::size_t kept_bytes = 0)
     {
-        for (auto& [path, held] : files)
+        for (auto& [path, data] : files)
         {
-            held->bytes.resize(std::min(held->bytes.size(), held->synced + kept));
+            data->bytes.resize(std::min(data->bytes.size(), data->synced + kept_bytes));
         }
     }
 
-    /// The newest log file's bytes.
+    /// @return the bytes of the newest log file
     std::string& newest_bytes()
     {
         return files.rbegin()->second->bytes;
     }
 
-    std::map<std::string, std::shared_ptr<content>> files;
+    std::map<std::string, std::shared_ptr<file_content>> files;
     bool fail_writes = false;
     bool fail_syncs = false;
     bool fail_reads = false;
--- a/tests/src/quorum_harness.hpp
+++ b/tests/src/quorum_harness.hpp
@@ -13,9 +13,14 @@
 namespace flaxtiller::test
 {
 
-/// Drives replicas of one log through a seeded schedule of messages lost, late and doubled, crashes between
-/// any two steps of writing and sending, freezes, cuts in one direction, wiped folders and repairs; and
-/// checks after each step what must always hold.
+/// @brief Runs the replicas of one log through a random schedule of faults and checks the invariants after
+/// each step.
+///
+/// The faults are lost, delayed and duplicated messages, crashes between any two steps of writing and
+/// sending, frozen processes, links blocked in one direction, and lost data folders with their repair. The
+/// schedule depends on the seed only. The invariants: a committed entry is never replaced, each term has at
+/// most one leader, at most one replica holds the lease, and the holder of the lease has all committed
+/// entries.
 class quorum_harness
 {
   public:
@@ -24,20 +29,20 @@
         for (int i = 0; i < replicas; ++i)
         {
             const quorum::replica_name name("c" + std::to_string(i));
-            node fresh;
+            simulated_replica fresh;
             fresh.name = name;
             fresh.incarnation = ++m_last_incarnation;
-            fresh.rate = 1.0 + draw(-9, 9) / 1000.0;
-            m_nodes.push_back(std::move(fresh));
+            fresh.clock_rate = 1.0 + draw(-9, 9) / 1000.0;
+            m_replicas.push_back(std::move(fresh));
         }
         quorum::snapshot base;
         base.last_index = 1;
         base.last_term = 1;
-        for (const node& item : m_nodes)
+        for (const simulated_replica& item : m_replicas)
         {
             base.members.members[item.name] = {item.name, item.incarnation, true};
         }
-        for (node& item : m_nodes)
+        for (simulated_replica& item : m_replicas)
         {
             item.disk.base = base;
             item.disk.hard.term = 1;
@@ -46,7 +51,8 @@
         }
     }
 
-    /// Runs so many random steps. @return what was violated, or an empty text
+    /// @brief Runs @a steps random steps.
+    /// @return the first violated invariant, or an empty string
     std::string run(int steps)
     {
         for (int i = 0; i < steps && m_violation.empty(); ++i)
@@ -57,21 +63,22 @@
         return m_violation;
     }
 
-    /// Ends all faults and waits for a leader that commits one more command.
+    /// @brief Ends all faults and waits until further commands are committed.
+    /// @return the first violated invariant or a message that no progress was made, or an empty string
     std::string settle()
     {
         m_settling = true;
         heal();
         const std::size_t before = m_committed.size();
-        constexpr int patience = 4000;
-        for (int i = 0; i < patience && m_violation.empty(); ++i)
+        constexpr int max_settle_steps = 4000;
+        for (int i = 0; i < max_settle_steps && m_violation.empty(); ++i)
         {
-            pass_time(10);
+            advance_time(10);
             deliver_all();
             repair_step();
             propose();
             check();
-            if (m_committed.size() > before + 3 && !m_lost_name)
+            if (m_committed.size() > before + 3 && !m_wiped_replica)
             {
                 return m_violation;
             }
@@ -79,19 +86,19 @@
         return m_violation.empty() ? "no progress after all faults ended" + describe() : m_violation;
     }
 
-    /// Where each replica stands, for the report of a failure.
+    /// @return the state of each replica, for a failure message
     std::string describe() const
     {
         std::string text;
-        for (const node& item : m_nodes)
+        for (const simulated_replica& item : m_replicas)
         {
             text += "\n  " + item.name.str() + "/" + std::to_string(item.incarnation);
-            if (!item.node)
+            if (!item.process)
             {
                 text += " down";
                 continue;
             }
-            const quorum::replica& r = *item.node;
+            const quorum::replica& r = *item.process;
             text += " role " + std::to_string(static_cast<int>(r.role())) + " term " +
                     std::to_string(r.term()) + " log " + std::to_string(r.log().first_index()) + ".." +
                     std::to_string(r.log().last_index()) + "/" + std::to_string(r.log().last_term()) +
@@ -123,16 +130,16 @@
     }
 
   private:
-    struct node
+    struct simulated_replica
     {
         quorum::replica_name name;
         quorum::incarnation_id incarnation = 0;
-        double rate = 1.0;
+        double clock_rate = 1.0;
         quorum::persisted_state disk;
-        std::unique_ptr<quorum::replica> node;
+        std::unique_ptr<quorum::replica> process;
         bool frozen = false;
-        /// Its disk was lost and the repair isn't finished.
-        bool lost = false;
+        /// Whether the replica lost its disk and is not repaired yet.
+        bool wiped = false;
         quorum::log_index applied = 0;
     };
 
@@ -147,71 +154,72 @@
         return std::uniform_int_distribution<int>(low, high)(m_random);
     }
 
-    time_point now_of(const node& item) const
+    time_point now_of(const simulated_replica& item) const
     {
-        return time_point(duration::from_ms(100000.0 + m_now_ms * item.rate));
+        return time_point(duration::from_ms(100000.0 + m_now_ms * item.clock_rate));
     }
 
-    void start(node& item)
+    void start(simulated_replica& item)
     {
-        item.node = std::make_unique<quorum::replica>(item.name, item.incarnation, quorum::timing{},
-                                                      item.disk, m_random(), now_of(item));
+        item.process = std::make_unique<quorum::replica>(item.name, item.incarnation, quorum::timing{},
+                                                         item.disk, m_random(), now_of(item));
         item.applied = item.disk.base.last_index;
     }
 
     // ------------------------------------------------------------------ steps
 
-    /// Rough phases, with all kinds of faults, alternate with calm ones, in which work gets done.
+    /// Phases with all kinds of faults alternate with quiet phases, in which commands are committed.
     void random_step()
     {
         if (m_phase_left-- == 0)
         {
             begin_phase();
         }
-        m_calm ? calm_step() : rough_step();
+        m_quiet_phase ? quiet_step() : fault_step();
     }
 
     void begin_phase()
     {
-        m_calm = !m_calm;
+        m_quiet_phase = !m_quiet_phase;
         m_phase_left = draw(20, 120);
-        m_keep_cuts = m_calm && draw(0, 2) == 0;
-        if (!m_keep_cuts)
+        m_keep_links_blocked = m_quiet_phase && draw(0, 2) == 0;
+        if (!m_keep_links_blocked)
         {
             return;
         }
-        // A long quiet time with someone cut off; then a disk and the leader are lost together.
+        // A long quiet phase with blocked links, after which a disk and the leader may be lost at the same
+        // time.
         heal();
-        cut_or_heal();
-        cut_or_heal();
+        block_or_heal_links();
+        block_or_heal_links();
         m_phase_left = draw(60, 200);
     }
 
     void lose_disk_and_leader()
     {
         lose_disk();
-        for (node& item : m_nodes)
+        for (simulated_replica& item : m_replicas)
         {
-            if (item.node && item.node->role() == quorum::role::leader)
+            if (item.process && item.process->role() == quorum::role::leader)
             {
-                item.node.reset();
+                item.process.reset();
             }
         }
     }
 
-    void calm_step()
+    void quiet_step()
     {
-        if (m_keep_cuts && m_phase_left == 1 && draw(0, 1) == 0)
+        if (m_keep_links_blocked && m_phase_left == 1 && draw(0, 1) == 0)
         {
             lose_disk_and_leader();
         }
-        pass_time(draw(5, 40));
+        advance_time(draw(5, 40));
         deliver_all();
         if (draw(0, 3) == 0)
         {
             propose();
         }
-        if (draw(0, 9) == 0 && !m_keep_cuts)
+        if (draw(0, 9) == 0 && !m_keep_links_blocked)
         {
             heal();
             repair_step();
@@ -220,23 +228,23 @@
 
     void heal()
     {
-        m_cuts.clear();
-        for (node& item : m_nodes)
+        m_blocked_links.clear();
+        for (simulated_replica& item : m_replicas)
         {
             item.frozen = false;
-            if (!item.node && !item.lost)
+            if (!item.process && !item.wiped)
             {
                 start(item);
             }
         }
     }
 
-    void rough_step()
+    void fault_step()
     {
         const int kind = draw(0, 99);
         if (kind < 30)
         {
-            pass_time(draw(1, 60));
+            advance_time(draw(1, 60));
         }
         else if (kind < 75)
         {
@@ -248,16 +256,16 @@
         }
         else if (kind < 90)
         {
-            draw(0, 4) == 0 ? restart_some() : crash_or_start();
+            draw(0, 4) == 0 ? restart_several() : crash_or_start();
         }
         else if (kind < 92)
         {
-            node& item = any();
+            simulated_replica& item = random_replica();
             item.frozen = !item.frozen;
         }
         else if (kind < 94)
         {
-            cut_or_heal();
+            block_or_heal_links();
         }
         else if (kind < 96)
         {
@@ -273,19 +281,19 @@
         }
     }
 
-    node& any()
+    simulated_replica& random_replica()
     {
-        return m_nodes[static_cast<std::size_t>(draw(0, static_cast<int>(m_nodes.size()) - 1))];
+        return m_replicas[static_cast<std::size_t>(draw(0, static_cast<int>(m_replicas.size()) - 1))];
     }
 
-    void pass_time(int ms)
+    void advance_time(int ms)
     {
         m_now_ms += ms;
-        for (node& item : m_nodes)
+        for (simulated_replica& item : m_replicas)
         {
-            if (item.node && !item.frozen)
+            if (item.process && !item.frozen)
             {
-                item.node->tick(now_of(item));
+                item.process->tick(now_of(item));
                 pump(item);
             }
         }
@@ -297,12 +305,12 @@
         {
             const auto index = static_cast<std::size_t>(draw(0, static_cast<int>(m_network.size()) - 1));
             const quorum::message picked = m_network[index];
-            const int fate = draw(0, 19);
-            if (fate != 0)
+            const int outcome = draw(0, 19);
+            if (outcome != 0)
             {
                 m_network.erase(m_network.begin() + static_cast<std::ptrdiff_t>(index));
             }
-            if (fate != 1)
+            if (outcome != 1)
             {
                 deliver(picked);
             }
@@ -321,12 +329,12 @@
 
     void deliver(const quorum::message& picked)
     {
-        for (node& item : m_nodes)
+        for (simulated_replica& item : m_replicas)
         {
-            const bool cut = m_cuts.count({picked.from, picked.to}) > 0;
-            if (item.name == picked.to && item.node && !item.frozen && !cut)
+            const bool blocked = m_blocked_links.count({picked.from, picked.to}) > 0;
+            if (item.name == picked.to && item.process && !item.frozen && !blocked)
             {
-                item.node->receive(picked, now_of(item));
+                item.process->receive(picked, now_of(item));
                 pump(item);
             }
         }
@@ -334,11 +342,11 @@
 
     void propose()
     {
-        for (node& item : m_nodes)
+        for (simulated_replica& item : m_replicas)
         {
-            if (item.node && !item.frozen && item.node->role() == quorum::role::leader)
+            if (item.process && !item.frozen && item.process->role() == quorum::role::leader)
             {
-                item.node->propose("command " + std::to_string(++m_proposed), now_of(item));
+                item.process->propose("command " + std::to_string(++m_proposed), now_of(item));
                 pump(item);
             }
         }
@@ -346,54 +354,54 @@
 
     void crash_or_start()
     {
-        node& item = any();
-        if (item.node)
+        simulated_replica& item = random_replica();
+        if (item.process)
         {
-            item.node.reset();
+            item.process.reset();
         }
-        else if (!item.lost)
+        else if (!item.wiped)
         {
             start(item);
         }
     }
 
-    /// Several processes end and are back at once, as when machines lose power together.
-    void restart_some()
+    /// Restarts several processes at the same time, as after a loss of power of several instances.
+    void restart_several()
     {
-        for (node& item : m_nodes)
+        for (simulated_replica& item : m_replicas)
         {
-            if (draw(0, 3) > 0 && !item.lost)
+            if (draw(0, 3) > 0 && !item.wiped)
             {
                 start(item);
             }
         }
     }
 
-    void cut_or_heal()
+    void block_or_heal_links()
     {
         if (draw(0, 2) == 0)
         {
-            m_cuts.clear();
+            m_blocked_links.clear();
             return;
         }
-        const node& a = any();
-        const node& b = any();
-        m_cuts.insert({a.name, b.name});
+        const simulated_replica& a = random_replica();
+        const simulated_replica& b = random_replica();
+        m_blocked_links.insert({a.name, b.name});
         if (draw(0, 1) == 0)
         {
-            m_cuts.insert({b.name, a.name});
+            m_blocked_links.insert({b.name, a.name});
         }
     }
 
     void compact()
     {
-        node& item = any();
-        if (!item.node || item.frozen)
+        simulated_replica& item = random_replica();
+        if (!item.process || item.frozen)
         {
             return;
         }
-        item.node->compact(item.applied, "state");
-        const auto& base = item.node->log().base();
+        item.process->compact(item.applied, "state");
+        const auto& base = item.process->log().base();
         std::erase_if(item.disk.entries,
                       [&](const quorum::log_entry& e)
                       {
@@ -402,60 +410,61 @@
         item.disk.base = base;
     }
 
-    /// One disk at a time, and only while every other voter has its own and the last repair is finished.
+    /// Removes the data folder of one replica. Only one disk is lost at a time, and the next one only after
+    /// the repair.
     void lose_disk()
     {
-        if (m_lost_name)
+        if (m_wiped_replica)
         {
             return;
         }
-        node& item = any();
-        item.node.reset();
-        item.lost = true;
+        simulated_replica& item = random_replica();
+        item.process.reset();
+        item.wiped = true;
         item.disk = {};
         item.incarnation = ++m_last_incarnation;
-        m_lost_name = item.name;
+        m_wiped_replica = item.name;
     }
 
     void repair_step()
     {
-        if (!m_lost_name)
+        if (!m_wiped_replica)
         {
             return;
         }
-        node* lost = find(*m_lost_name);
-        if (!lost->node)
+        simulated_replica* wiped = find(*m_wiped_replica);
+        if (!wiped->process)
         {
-            // Back on an empty folder.
-            start(*lost);
+            // The replica returns with an empty data folder.
+            start(*wiped);
         }
-        for (node& item : m_nodes)
+        for (simulated_replica& item : m_replicas)
         {
-            if (!item.node || item.frozen || !item.node->is_ready_leader())
+            if (!item.process || item.frozen || !item.process->is_ready_leader())
             {
                 continue;
             }
-            const auto& members = item.node->members();
-            const bool committed = item.node->log().members_index() <= item.node->commit_index();
-            if (members.is_voter(lost->name, lost->incarnation) && committed)
+            const auto& members = item.process->members();
+            const bool committed = item.process->log().members_index() <= item.process->commit_index();
+            if (members.is_voter(wiped->name, wiped->incarnation) && committed)
             {
-                lost->lost = false;
-                m_lost_name.reset();
+                wiped->wiped = false;
+                m_wiped_replica.reset();
                 ++m_repairs;
                 return;
             }
-            const auto found = members.members.find(lost->name);
-            if (found == members.members.end() || found->second.incarnation != lost->incarnation)
+            const auto found = members.members.find(wiped->name);
+            if (found == members.members.end() || found->second.incarnation != wiped->incarnation)
             {
-                (void)item.node->add_member(lost->name, lost->incarnation, now_of(item));
+                (void)item.process->add_member(wiped->name, wiped->incarnation, now_of(item));
                 pump(item);
             }
         }
     }
 
-    node* find(const quorum::replica_name& name)
+    simulated_replica* find(const quorum::replica_name& name)
     {
-        for (node& item : m_nodes)
+        for (simulated_replica& item : m_replicas)
         {
             if (item.name == name)
             {
@@ -465,48 +474,48 @@
         return nullptr;
     }
 
-    // ------------------------------------------------------------------ a replica's shell
+    // ------------------------------------------------------------------ caller of a replica
 
-    /// Writes, syncs, sends and applies; a crash may come between any two of these.
-    void pump(node& item)
+    /// Writes, syncs, sends and applies. The process may crash between any two of these steps.
+    void pump(simulated_replica& item)
     {
         while (true)
         {
-            quorum::output wanted = item.node->take_output();
-            const bool nothing = wanted.send_now.empty() && wanted.send_after_sync.empty() &&
-                                 wanted.committed.empty() && !wanted.must_sync();
-            if (nothing)
+            quorum::output actions = item.process->take_output();
+            const bool is_empty = actions.send_now.empty() && actions.send_after_sync.empty() &&
+                                  actions.committed.empty() && !actions.must_sync();
+            if (is_empty)
             {
                 return;
             }
             const bool crashes = !m_settling && draw(0, 499) == 0;
             const int crash_point = crashes ? draw(0, 3) : -1;
-            send(wanted.send_now);
+            send(actions.send_now);
             if (crash_point == 0)
             {
-                item.node.reset();
+                item.process.reset();
                 return;
             }
-            write(item, wanted);
+            write(item, actions);
             if (crash_point == 1)
             {
-                item.node.reset();
+                item.process.reset();
                 return;
             }
-            if (wanted.must_sync())
+            if (actions.must_sync())
             {
-                item.node->on_synced();
+                item.process->on_synced();
             }
-            send(wanted.send_after_sync);
+            send(actions.send_after_sync);
             if (crash_point == 2)
             {
-                item.node.reset();
+                item.process.reset();
                 return;
             }
-            apply(item, wanted);
+            apply(item, actions);
             if (crash_point == 3)
             {
-                item.node.reset();
+                item.process.reset();
                 return;
             }
         }
@@ -517,75 +526,75 @@
         m_network.insert(m_network.end(), messages.begin(), messages.end());
     }
 
-    static void write(node& item, const quorum::output& wanted)
+    static void write(simulated_replica& item, const quorum::output& actions)
     {
-        if (wanted.hard)
+        if (actions.hard)
         {
-            item.disk.hard = *wanted.hard;
+            item.disk.hard = *actions.hard;
         }
-        if (wanted.install)
+        if (actions.install)
         {
-            item.disk.base = *wanted.install;
+            item.disk.base = *actions.install;
             item.disk.entries.clear();
         }
-        if (wanted.truncate_from)
+        if (actions.truncate_from)
         {
             std::erase_if(item.disk.entries,
                           [&](const quorum::log_entry& e)
                           {
-                              return e.index >= *wanted.truncate_from;
+                              return e.index >= *actions.truncate_from;
                           });
         }
-        item.disk.entries.insert(item.disk.entries.end(), wanted.append.begin(), wanted.append.end());
+        item.disk.entries.insert(item.disk.entries.end(), actions.append.begin(), actions.append.end());
     }
 
-    void apply(node& item, const quorum::output& wanted)
+    void apply(simulated_replica& item, const quorum::output& actions)
     {
-        if (wanted.install)
+        if (actions.install)
         {
-            item.applied = wanted.install->last_index;
+            item.applied = actions.install->last_index;
         }
-        for (const quorum::log_entry& entry : wanted.committed)
+        for (const quorum::log_entry& entry : actions.committed)
         {
             if (entry.index != item.applied + 1)
             {
-                violate(item, "applied out of order");
+                report_violation(item, "entry applied out of order");
             }
             item.applied = entry.index;
             const auto [known, fresh] =
                 m_committed.emplace(entry.index, committed_entry{entry.term, entry.command});
             if (!fresh && (known->second.term != entry.term || known->second.command != entry.command))
             {
-                violate(item, "an accepted entry was replaced at " + std::to_string(entry.index));
+                report_violation(item, "committed entry replaced at index " + std::to_string(entry.index));
             }
         }
     }
 
-    // ------------------------------------------------------------------ what must always hold
+    // ------------------------------------------------------------------ invariants
 
-    void violate(const node& item, const std::string& what)
+    void report_violation(const simulated_replica& item, const std::string& violation)
     {
         if (m_violation.empty())
         {
-            m_violation = item.name.str() + ": " + what;
+            m_violation = item.name.str() + ": " + violation;
         }
     }
 
     void check()
     {
         int leases = 0;
-        for (const node& item : m_nodes)
+        for (const simulated_replica& item : m_replicas)
         {
-            if (!item.node)
+            if (!item.process)
             {
                 continue;
             }
             check_disk(item);
-            if (item.node->role() == quorum::role::leader)
+            if (item.process->role() == quorum::role::leader)
             {
                 check_leader(item);
             }
-            if (!item.frozen && item.node->has_lease(now_of(item)))
+            if (!item.frozen && item.process->has_lease(now_of(item)))
             {
                 ++leases;
                 check_complete(item);
@@ -593,52 +602,52 @@
         }
         if (leases > 1)
         {
-            m_violation = "the lease is held twice";
+            m_violation = "two replicas hold the lease";
         }
     }
 
-    void check_leader(const node& item)
+    void check_leader(const simulated_replica& item)
     {
-        const auto leads = std::pair(item.name, item.incarnation);
-        const auto [known, fresh] = m_leaders.emplace(item.node->term(), leads);
-        if (!fresh && known->second != leads)
+        const auto leader_identity = std::pair(item.name, item.incarnation);
+        const auto [known, fresh] = m_leaders.emplace(item.process->term(), leader_identity);
+        if (!fresh && known->second != leader_identity)
         {
-            violate(item, "two leaders in term " + std::to_string(item.node->term()));
+            report_violation(item, "two leaders in term " + std::to_string(item.process->term()));
         }
     }
 
-    /// What a leader answers under its lease holds everything that was ever accepted.
-    void check_complete(const node& item)
+    /// The holder of the lease has all committed entries.
+    void check_complete(const simulated_replica& item)
     {
-        if (!m_committed.empty() && item.node->commit_index() < m_committed.rbegin()->first)
+        if (!m_committed.empty() && item.process->commit_index() < m_committed.rbegin()->first)
         {
-            violate(item, "holds the lease without an accepted entry");
+            report_violation(item, "holder of the lease lacks a committed entry");
         }
     }
 
-    /// What counts as written is on the disk.
-    void check_disk(const node& item)
+    /// The log and the term in memory equal those on disk between two steps.
+    void check_disk(const simulated_replica& item)
     {
         const quorum::log_index on_disk =
             item.disk.base.last_index + static_cast<quorum::log_index>(item.disk.entries.size());
-        if (on_disk != item.node->log().last_index() || item.disk.hard.term != item.node->term())
+        if (on_disk != item.process->log().last_index() || item.disk.hard.term != item.process->term())
         {
-            violate(item, "memory and disk differ between steps");
+            report_violation(item, "memory and disk differ between steps");
         }
     }
 
     std::mt19937_64 m_random;
     double m_now_ms = 0;
-    std::vector<node> m_nodes;
+    std::vector<simulated_replica> m_replicas;
     std::vector<quorum::message> m_network;
-    std::set<std::pair<quorum::replica_name, quorum::replica_name>> m_cuts;
+    std::set<std::pair<quorum::replica_name, quorum::replica_name>> m_blocked_links;
     std::map<quorum::log_index, committed_entry> m_committed;
     std::map<quorum::term_number, std::pair<quorum::replica_name, quorum::incarnation_id>> m_leaders;
-    std::optional<quorum::replica_name> m_lost_name;
+    std::optional<quorum::replica_name> m_wiped_replica;
     quorum::incarnation_id m_last_incarnation = 0;
     bool m_settling = false;
-    bool m_calm = false;
-    bool m_keep_cuts = false;
+    bool m_quiet_phase = false;
+    bool m_keep_links_blocked = false;
     int m_phase_left = 0;
     std::size_t m_proposed = 0;
     std::size_t m_repairs = 0;
--- a/tests/src/unit-membership.cpp
+++ b/tests/src/unit-membership.cpp
@@ -15,9 +15,9 @@
 
 } // namespace
 
-TEST_CASE("a leader mends its member set", "[membership]")
+TEST_CASE("a leader repairs its member set", "[membership]")
 {
-    const membership_planner keeper({});
+    const membership_planner planner({});
     const time_point now(duration::from_ms(100000));
     const time_point silent = now - duration::from_ms(4000);
     member_set members;
@@ -30,25 +30,25 @@
     std::map<replica_name, announcement> announced{{b, {2, now}}, {c, {3, now}}};
     const auto next = [&]
     {
-        return keeper.next(a, members, others, announced, now);
+        return planner.next(a, members, others, announced, now);
     };
 
-    SECTION("nothing to do")
+    SECTION("a complete member set needs no change")
     {
         CHECK_FALSE(next());
     }
-    SECTION("a wiped replica learns anew under its new incarnation")
+    SECTION("a replica that lost its disk is added as a learner under its new incarnation")
     {
         announced[c] = {33, now};
         CHECK(next() == member_change{member_change::kind::add, c, 33});
     }
-    SECTION("a lost voter stays as long as nobody can replace it")
+    SECTION("a silent voter remains a member without a replacement")
     {
         others[c].last_contact = silent;
         announced.erase(c);
         CHECK_FALSE(next());
     }
-    SECTION("a newcomer replaces a lost voter: first that one leaves, then the newcomer learns")
+    SECTION("a silent voter is removed first, then the new replica is added as a learner")
     {
         others[c].last_contact = silent;
         announced.erase(c);
@@ -60,7 +60,7 @@
         others[d].last_contact = now;
         CHECK_FALSE(next());
     }
-    SECTION("a newcomer that was promoted before the loss was noticed: the lost one leaves four voters")
+    SECTION("a silent voter among four voters is removed")
     {
         members.members[d] = {d, 4, true};
         others[d].last_contact = now;
@@ -68,19 +68,19 @@
         announced.erase(c);
         CHECK(next() == member_change{member_change::kind::remove, c, 0});
     }
-    SECTION("nobody leaves where the rest wouldn't be a majority of their own")
+    SECTION("no voter is removed if the remaining voters have no reachable majority")
     {
         others[b].last_contact = silent;
         others[c].last_contact = silent;
         announced = {{d, {4, now}}};
         CHECK(next() == member_change{member_change::kind::add, d, 4});
     }
-    SECTION("a newcomer whose word is old isn't there any more")
+    SECTION("an outdated announcement is ignored")
     {
         announced[d] = {4, silent};
         CHECK_FALSE(next());
     }
-    SECTION("one newcomer at a time, and a learner that died makes room")
+    SECTION("only one replica learns at a time, and a silent learner is replaced")
     {
         members.members[d] = {d, 4, false};
         others[d].last_contact = now;
--- a/tests/src/unit-quorum-schedules.cpp
+++ b/tests/src/unit-quorum-schedules.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Fixed, so that the verdict is the same on every run.
+/// A fixed seed, so that every run gives the same result.
 constexpr const char* rapidcheck_parameters = "seed=20261202 max_success=1500";
 constexpr int steps = 1500;
 
@@ -36,7 +36,7 @@
                                     elections += harness.elections();
                                     repairs += harness.repairs();
                                 });
-    // The schedules must reach what they are meant to test.
+    // The schedules must contain enough of the events under test.
     INFO("committed " << committed << ", elections " << elections << ", repairs " << repairs);
     CHECK(committed > 10000);
     CHECK(elections > 3000);
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("seeded schedules of faults keep the promises of the replicated log", "[quorum][schedules]")
+TEST_CASE("the replicated log keeps its invariants under random schedules of faults", "[quorum][schedules]")
 {
     SECTION("three replicas")
     {
--- a/tests/src/unit-quorum.cpp
+++ b/tests/src/unit-quorum.cpp
@@ -1,4 +1,5 @@
-// Rules of the replicated log that seeded schedules reach too seldom, each driven by hand.
+// Rules of the replicated log that random schedules reach too rarely. Each test sends the messages
+// explicitly.
 
 #include <flaxtiller/quorum/message_codec.hpp>
 #include <flaxtiller/quorum/replica.hpp>
@@ -36,21 +37,22 @@
     return entry;
 }
 
-/// One replica, c1, and what it says.
+/// The replica c1 and the messages that it sent.
 struct driver
 {
     explicit driver(const persisted_state& stored) : node(c1, 11, timing{}, stored, 5, now)
     {
     }
 
-    void pass(double ms)
+    void advance(double ms)
     {
         now = now + duration::from_ms(ms);
         node.tick(now);
         pump();
     }
 
-    void hear(const replica_name& from, incarnation_id incarnation, term_number term, message_body body)
+    void receive_from(const replica_name& from, incarnation_id incarnation, term_number term,
+                      message_body body)
     {
         node.receive({from, incarnation, c1, 11, term, std::move(body)}, now);
         pump();
@@ -58,23 +60,23 @@
 
     void pump()
     {
-        output wanted = node.take_output();
-        if (wanted.must_sync())
+        output actions = node.take_output();
+        if (actions.must_sync())
         {
             node.on_synced();
         }
-        for (const auto* list : {&wanted.send_now, &wanted.send_after_sync})
+        for (const auto* list : {&actions.send_now, &actions.send_after_sync})
         {
-            said.insert(said.end(), list->begin(), list->end());
+            sent_messages.insert(sent_messages.end(), list->begin(), list->end());
         }
-        const output more = node.take_output();
-        said.insert(said.end(), more.send_now.begin(), more.send_now.end());
+        const output following = node.take_output();
+        sent_messages.insert(sent_messages.end(), following.send_now.begin(), following.send_now.end());
     }
 
     template <typename Body>
-    const Body* last_said() const
+    const Body* last_sent() const
     {
-        for (auto item = said.rbegin(); item != said.rend(); ++item)
+        for (auto item = sent_messages.rbegin(); item != sent_messages.rend(); ++item)
         {
             if (const auto* body = std::get_if<Body>(&item->body))
             {
@@ -84,228 +86,229 @@
         return nullptr;
     }
 
-    void lead()
+    void become_leader()
     {
-        pass(1001);
-        hear(c2, 12, node.term() + 1, vote_reply{true, true});
-        hear(c2, 12, node.term(), vote_reply{false, true});
+        advance(1001);
+        receive_from(c2, 12, node.term() + 1, vote_reply{true, true});
+        receive_from(c2, 12, node.term(), vote_reply{false, true});
         REQUIRE(node.role() == role::leader);
     }
 
     time_point now{duration::from_ms(10000)};
     replica node;
-    std::vector<message> said;
+    std::vector<message> sent_messages;
 };
 
 } // namespace
 
-TEST_CASE("elections", "[quorum]")
+TEST_CASE("replicas grant and count votes by the election rules", "[quorum]")
 {
     driver follower(three_members());
 
-    SECTION("who heard from a leader just now gives no vote, whatever the term")
+    SECTION("a replica with recent leader contact grants no vote in any term")
     {
-        follower.hear(c2, 12, 1, append_request{1, 1, 1, 7, {}});
-        follower.pass(400);
-        follower.hear(c3, 13, 9, vote_request{false, 50, 8});
-        REQUIRE(follower.last_said<vote_reply>() != nullptr);
-        CHECK_FALSE(follower.last_said<vote_reply>()->granted);
+        follower.receive_from(c2, 12, 1, append_request{1, 1, 1, 7, {}});
+        follower.advance(400);
+        follower.receive_from(c3, 13, 9, vote_request{false, 50, 8});
+        REQUIRE(follower.last_sent<vote_reply>() != nullptr);
+        CHECK_FALSE(follower.last_sent<vote_reply>()->granted);
         CHECK(follower.node.term() == 1);
-        follower.pass(101);
-        follower.hear(c3, 13, 9, vote_request{false, 50, 8});
-        CHECK(follower.last_said<vote_reply>()->granted);
+        follower.advance(101);
+        follower.receive_from(c3, 13, 9, vote_request{false, 50, 8});
+        CHECK(follower.last_sent<vote_reply>()->granted);
     }
 
-    SECTION("a restarted replica may have heard from one just before it stopped")
+    SECTION("a restarted replica behaves as if it had leader contact just before the restart")
     {
-        follower.hear(c3, 13, 9, vote_request{false, 50, 8});
-        CHECK_FALSE(follower.last_said<vote_reply>()->granted);
+        follower.receive_from(c3, 13, 9, vote_request{false, 50, 8});
+        CHECK_FALSE(follower.last_sent<vote_reply>()->granted);
     }
 
-    SECTION("the vote of a wiped replica doesn't count")
+    SECTION("the vote of a replica that lost its disk does not count")
     {
-        follower.pass(1001);
-        follower.hear(c2, 99, 2, vote_reply{true, true});
+        follower.advance(1001);
+        follower.receive_from(c2, 99, 2, vote_reply{true, true});
         CHECK(follower.node.role() == role::pre_candidate);
-        follower.hear(c2, 12, 2, vote_reply{true, true});
+        follower.receive_from(c2, 12, 2, vote_reply{true, true});
         CHECK(follower.node.role() == role::candidate);
-        follower.hear(c3, 99, 2, vote_reply{false, true});
+        follower.receive_from(c3, 99, 2, vote_reply{false, true});
         CHECK(follower.node.role() == role::candidate);
-        follower.hear(c3, 13, 2, vote_reply{false, true});
+        follower.receive_from(c3, 13, 2, vote_reply{false, true});
         CHECK(follower.node.role() == role::leader);
     }
 
-    SECTION("a wiped replica, which knows no members, never stands for election")
+    SECTION("a replica that lost its disk knows no members and never starts an election")
     {
         driver wiped{persisted_state{}};
-        wiped.pass(5000);
-        CHECK(wiped.said.empty());
+        wiped.advance(5000);
+        CHECK(wiped.sent_messages.empty());
         CHECK(wiped.node.role() == role::follower);
     }
 
-    SECTION("who knows of a longer committed log gives no vote to a shorter one put back from a backup")
+    SECTION("a replica grants no vote to a candidate whose log is shorter than the known commit index")
     {
         persisted_state stored = three_members();
         stored.hard.known_commit = 40;
-        driver knows(stored);
-        knows.pass(600);
-        knows.hear(c3, 13, 9, vote_request{false, 39, 8});
-        CHECK_FALSE(knows.last_said<vote_reply>()->granted);
-        knows.hear(c3, 13, 10, vote_request{false, 40, 8});
-        CHECK(knows.last_said<vote_reply>()->granted);
+        driver voter_with_commit(stored);
+        voter_with_commit.advance(600);
+        voter_with_commit.receive_from(c3, 13, 9, vote_request{false, 39, 8});
+        CHECK_FALSE(voter_with_commit.last_sent<vote_reply>()->granted);
+        voter_with_commit.receive_from(c3, 13, 10, vote_request{false, 40, 8});
+        CHECK(voter_with_commit.last_sent<vote_reply>()->granted);
     }
 }
 
-TEST_CASE("restarted voters stand one after the other", "[quorum]")
+TEST_CASE("restarted voters start elections one after the other", "[quorum]")
 {
-    // Six voters, of which this one is the first or the last.
-    const auto stands_after = [](const char* others)
+    // There are six voters, of which c1 is the first or the last by name.
+    const auto delay_before_election = [](const char* others)
     {
         persisted_state stored = three_members();
-        member_set& set = stored.base.members;
-        set.members = {{c1, {c1, 11, true}}};
+        member_set& member_list = stored.base.members;
+        member_list.members = {{c1, {c1, 11, true}}};
         for (int i = 2; i <= 6; ++i)
         {
             const replica_name name(others + std::to_string(i));
-            set.members[name] = {name, static_cast<incarnation_id>(10 + i), true};
+            member_list.members[name] = {name, static_cast<incarnation_id>(10 + i), true};
         }
         driver restarted(stored);
-        restarted.pass(1);
-        const std::uint64_t replica_run = restarted.last_said<leadership_query>()->replica_run;
+        restarted.advance(1);
+        const std::uint64_t replica_run = restarted.last_sent<leadership_query>()->replica_run;
         for (int i = 2; i <= 6; ++i)
         {
-            restarted.hear(replica_name(others + std::to_string(i)), static_cast<incarnation_id>(10 + i), 1,
-                           leadership_reply{replica_run, false, restarted.node.members()});
+            restarted.receive_from(replica_name(others + std::to_string(i)),
+                                   static_cast<incarnation_id>(10 + i), 1,
+                                   leadership_reply{replica_run, false, restarted.node.members()});
         }
-        double waited = 0.0;
-        while (restarted.node.role() == role::follower && waited < 1000.0)
+        double waited_ms = 0.0;
+        while (restarted.node.role() == role::follower && waited_ms < 1000.0)
         {
-            restarted.pass(1);
-            waited += 1.0;
+            restarted.advance(1);
+            waited_ms += 1.0;
         }
-        return waited;
+        return waited_ms;
     };
     const double turn = timing{}.early_election_spread.ms() / 6.0;
-    CHECK(stands_after("c") <= turn * 0.25 + 1.0);
-    const double last = stands_after("a");
+    CHECK(delay_before_election("c") <= turn * 0.25 + 1.0);
+    const double last = delay_before_election("a");
     CHECK(last >= turn * 5.0);
     CHECK(last <= timing{}.early_election_spread.ms() + 1.0);
 }
 
-TEST_CASE("a restarted replica's wait for an earlier lease", "[quorum]")
+TEST_CASE("a restarted replica waits for the end of a previous lease", "[quorum]")
 {
     driver restarted(three_members());
     const member_set members = restarted.node.members();
-    const auto ask = [&]
+    const auto query_leadership = [&]
     {
-        restarted.pass(1);
-        REQUIRE(restarted.last_said<leadership_query>() != nullptr);
-        return restarted.last_said<leadership_query>()->replica_run;
+        restarted.advance(1);
+        REQUIRE(restarted.last_sent<leadership_query>() != nullptr);
+        return restarted.last_sent<leadership_query>()->replica_run;
     };
-    const auto votes = [&]
+    const auto grants_vote = [&]
     {
-        restarted.hear(c3, 13, 9, vote_request{false, 50, 8});
-        return restarted.last_said<vote_reply>()->granted;
+        restarted.receive_from(c3, 13, 9, vote_request{false, 50, 8});
+        return restarted.last_sent<vote_reply>()->granted;
     };
-    const std::uint64_t replica_run = ask();
+    const std::uint64_t replica_run = query_leadership();
 
-    SECTION("ends, and it stands for election soon, once no other voter leads")
+    SECTION("the wait ends and an election starts soon once no other voter is the leader")
     {
-        restarted.hear(c2, 12, 1, leadership_reply{replica_run, false, members});
-        CHECK_FALSE(votes());
-        restarted.hear(c3, 13, 1, leadership_reply{replica_run, false, members});
-        restarted.pass(timing{}.early_election_spread.ms());
+        restarted.receive_from(c2, 12, 1, leadership_reply{replica_run, false, members});
+        CHECK_FALSE(grants_vote());
+        restarted.receive_from(c3, 13, 1, leadership_reply{replica_run, false, members});
+        restarted.advance(timing{}.early_election_spread.ms());
         CHECK(restarted.node.role() == role::pre_candidate);
-        CHECK(votes());
+        CHECK(grants_vote());
     }
 
-    SECTION("ends earlier than the others', which refuse their votes: it soon stands again")
+    SECTION("an election is retried soon if the other voters still wait and refuse their votes")
     {
-        restarted.hear(c2, 12, 1, leadership_reply{replica_run, false, members});
-        restarted.hear(c3, 13, 1, leadership_reply{replica_run, false, members});
-        restarted.pass(timing{}.early_election_spread.ms());
-        restarted.hear(c2, 12, 1, vote_reply{true, false});
-        restarted.hear(c3, 13, 1, vote_reply{true, false});
-        restarted.said.clear();
-        restarted.pass(timing{}.leadership_query_interval.ms() + timing{}.early_election_spread.ms());
-        CHECK(restarted.last_said<vote_request>() != nullptr);
-        SECTION("and not for long")
+        restarted.receive_from(c2, 12, 1, leadership_reply{replica_run, false, members});
+        restarted.receive_from(c3, 13, 1, leadership_reply{replica_run, false, members});
+        restarted.advance(timing{}.early_election_spread.ms());
+        restarted.receive_from(c2, 12, 1, vote_reply{true, false});
+        restarted.receive_from(c3, 13, 1, vote_reply{true, false});
+        restarted.sent_messages.clear();
+        restarted.advance(timing{}.leadership_query_interval.ms() + timing{}.early_election_spread.ms());
+        CHECK(restarted.last_sent<vote_request>() != nullptr);
+        SECTION("the early retries end after the minimum election timeout")
         {
-            restarted.pass(timing{}.election_min.ms());
-            restarted.pass(timing{}.early_election_spread.ms() + timing{}.leadership_query_interval.ms());
-            restarted.said.clear();
-            restarted.pass(timing{}.election_min.ms() - 1);
-            CHECK(restarted.last_said<vote_request>() == nullptr);
+            restarted.advance(timing{}.election_min.ms());
+            restarted.advance(timing{}.early_election_spread.ms() + timing{}.leadership_query_interval.ms());
+            restarted.sent_messages.clear();
+            restarted.advance(timing{}.election_min.ms() - 1);
+            CHECK(restarted.last_sent<vote_request>() == nullptr);
         }
     }
 
-    SECTION("lasts while a voter is silent, and that one alone is asked again")
+    SECTION("the wait continues while a voter is silent, and only this voter is queried again")
     {
-        restarted.hear(c2, 12, 1, leadership_reply{replica_run, false, members});
-        restarted.said.clear();
-        restarted.pass(timing{}.leadership_query_interval.ms());
-        REQUIRE(restarted.said.size() == 1);
-        CHECK(restarted.said[0].to == c3);
-        CHECK_FALSE(votes());
+        restarted.receive_from(c2, 12, 1, leadership_reply{replica_run, false, members});
+        restarted.sent_messages.clear();
+        restarted.advance(timing{}.leadership_query_interval.ms());
+        REQUIRE(restarted.sent_messages.size() == 1);
+        CHECK(restarted.sent_messages[0].to == c3);
+        CHECK_FALSE(grants_vote());
     }
 
-    SECTION("lasts while a voter leads")
+    SECTION("the wait continues while a voter is the leader")
     {
-        restarted.hear(c2, 12, 1, leadership_reply{replica_run, false, members});
-        restarted.hear(c3, 13, 1, leadership_reply{replica_run, true, members});
-        CHECK_FALSE(votes());
+        restarted.receive_from(c2, 12, 1, leadership_reply{replica_run, false, members});
+        restarted.receive_from(c3, 13, 1, leadership_reply{replica_run, true, members});
+        CHECK_FALSE(grants_vote());
         CHECK(restarted.node.role() == role::follower);
     }
 
-    SECTION("isn't ended by answers to an earlier life")
+    SECTION("replies to queries of a previous run do not end the wait")
     {
-        restarted.hear(c2, 12, 1, leadership_reply{replica_run + 1, false, members});
-        restarted.hear(c3, 13, 1, leadership_reply{replica_run + 1, false, members});
-        CHECK_FALSE(votes());
+        restarted.receive_from(c2, 12, 1, leadership_reply{replica_run + 1, false, members});
+        restarted.receive_from(c3, 13, 1, leadership_reply{replica_run + 1, false, members});
+        CHECK_FALSE(grants_vote());
     }
 
-    SECTION("a wiped voter doesn't lead, but knows nothing of members")
+    SECTION("a voter that lost its disk is not the leader, but does not confirm the member set")
     {
-        restarted.hear(c3, 99, 0, leadership_reply{replica_run, false, {}});
-        CHECK_FALSE(votes());
-        SECTION("the others' word suffices")
+        restarted.receive_from(c3, 99, 0, leadership_reply{replica_run, false, {}});
+        CHECK_FALSE(grants_vote());
+        SECTION("the replies of the other voters form a majority that confirms the member set")
         {
-            restarted.hear(c2, 12, 1, leadership_reply{replica_run, false, members});
-            CHECK(votes());
+            restarted.receive_from(c2, 12, 1, leadership_reply{replica_run, false, members});
+            CHECK(grants_vote());
         }
-        SECTION("two of them leave nobody who knows")
+        SECTION("with two such voters no majority confirms the member set")
         {
-            restarted.hear(c2, 98, 0, leadership_reply{replica_run, false, {}});
-            CHECK_FALSE(votes());
+            restarted.receive_from(c2, 98, 0, leadership_reply{replica_run, false, {}});
+            CHECK_FALSE(grants_vote());
         }
     }
 
-    SECTION("lasts where the others know of another voter, which may lead")
+    SECTION("the wait continues if the other voters know a further voter, which may be the leader")
     {
-        member_set more = members;
-        more.members.emplace(replica_name("c4"), member{replica_name("c4"), 14, true});
-        restarted.hear(c2, 12, 1, leadership_reply{replica_run, false, more});
-        restarted.hear(c3, 13, 1, leadership_reply{replica_run, false, more});
-        CHECK_FALSE(votes());
+        member_set larger_set = members;
+        larger_set.members.emplace(replica_name("c4"), member{replica_name("c4"), 14, true});
+        restarted.receive_from(c2, 12, 1, leadership_reply{replica_run, false, larger_set});
+        restarted.receive_from(c3, 13, 1, leadership_reply{replica_run, false, larger_set});
+        CHECK_FALSE(grants_vote());
     }
 
-    SECTION("starts anew once it heard a leader in this life")
+    SECTION("leadership replies have no effect after a message of a leader in the current run")
     {
-        restarted.hear(c2, 12, 1, append_request{1, 1, 1, 7, {}});
-        restarted.hear(c2, 12, 1, leadership_reply{replica_run, false, members});
-        restarted.hear(c3, 13, 1, leadership_reply{replica_run, false, members});
-        CHECK_FALSE(votes());
+        restarted.receive_from(c2, 12, 1, append_request{1, 1, 1, 7, {}});
+        restarted.receive_from(c2, 12, 1, leadership_reply{replica_run, false, members});
+        restarted.receive_from(c3, 13, 1, leadership_reply{replica_run, false, members});
+        CHECK_FALSE(grants_vote());
     }
 
-    SECTION("asking unseats no leader and starts no election")
+    SECTION("a leadership query neither deposes a leader nor starts an election")
     {
         driver leader(three_members());
-        leader.lead();
+        leader.become_leader();
         const term_number term = leader.node.term();
-        leader.hear(c2, 12, term + 5, leadership_query{77});
-        REQUIRE(leader.last_said<leadership_reply>() != nullptr);
-        CHECK(leader.last_said<leadership_reply>()->leads);
-        CHECK(leader.last_said<leadership_reply>()->replica_run == 77);
+        leader.receive_from(c2, 12, term + 5, leadership_query{77});
+        REQUIRE(leader.last_sent<leadership_reply>() != nullptr);
+        CHECK(leader.last_sent<leadership_reply>()->leads);
+        CHECK(leader.last_sent<leadership_reply>()->replica_run == 77);
         CHECK(leader.node.role() == role::leader);
         CHECK(leader.node.term() == term);
     }
@@ -314,81 +317,81 @@
 TEST_CASE("a leader that removes itself holds no lease", "[quorum]")
 {
     driver leader(three_members());
-    leader.lead();
-    const auto hears = [&]
+    leader.become_leader();
+    const auto acknowledge_all = [&]
     {
         const std::int64_t sent_at = leader.now.since_start().us();
         const log_index last = leader.node.log().last_index();
-        leader.hear(c2, 12, leader.node.term(), append_reply{true, last, sent_at});
+        leader.receive_from(c2, 12, leader.node.term(), append_reply{true, last, sent_at});
     };
-    hears();
+    acknowledge_all();
     REQUIRE(leader.node.has_lease(leader.now));
     REQUIRE_FALSE(leader.node.remove_member(c1, leader.now));
     CHECK_FALSE(leader.node.has_lease(leader.now));
 }
 
-TEST_CASE("commitment", "[quorum]")
+TEST_CASE("an entry is committed once a majority of the voters stored it", "[quorum]")
 {
     driver leader(three_members({command_at(2, 2)}));
-    leader.lead();
+    leader.become_leader();
     REQUIRE(leader.node.log().last_index() == 3);
 
-    SECTION("an entry of an earlier term isn't committed by counting, only along with one of this term")
+    SECTION("an entry of an earlier term is committed only together with an entry of the current term")
     {
-        leader.hear(c2, 12, leader.node.term(), append_reply{true, 2, 0});
+        leader.receive_from(c2, 12, leader.node.term(), append_reply{true, 2, 0});
         CHECK(leader.node.commit_index() == 1);
-        leader.hear(c2, 12, leader.node.term(), append_reply{true, 3, 0});
+        leader.receive_from(c2, 12, leader.node.term(), append_reply{true, 3, 0});
         CHECK(leader.node.commit_index() == 3);
     }
 
-    SECTION("a wiped replica's acknowledgement doesn't count")
+    SECTION("the acknowledgement of a replica that lost its disk does not count")
     {
-        leader.hear(c2, 99, leader.node.term(), append_reply{true, 3, 0});
+        leader.receive_from(c2, 99, leader.node.term(), append_reply{true, 3, 0});
         CHECK(leader.node.commit_index() == 1);
         CHECK(leader.node.non_members().at(c2) == 99);
     }
 }
 
-TEST_CASE("the lease", "[quorum]")
+TEST_CASE("a leader holds the lease while a majority of the voters acknowledges its messages", "[quorum]")
 {
     driver leader(three_members());
-    leader.lead();
+    leader.become_leader();
     const auto acknowledge = [&]
     {
-        leader.hear(c2, 12, leader.node.term(), append_reply{true, 2, leader.now.since_start().us()});
+        leader.receive_from(c2, 12, leader.node.term(), append_reply{true, 2, leader.now.since_start().us()});
     };
     CHECK_FALSE(leader.node.has_lease(leader.now));
     acknowledge();
     CHECK(leader.node.has_lease(leader.now));
 
-    SECTION("ends before any follower may vote, by more than the clocks can drift")
+    SECTION("the lease ends before a follower may vote, with a margin for clock drift")
     {
         CHECK(leader.node.has_lease(leader.now + duration::from_ms(489)));
         CHECK_FALSE(leader.node.has_lease(leader.now + duration::from_ms(490)));
     }
 
-    SECTION("isn't there any more when a frozen leader wakes, before it did anything")
+    SECTION("a leader that resumes after a freeze holds no lease before it handles its first event")
     {
         leader.now = leader.now + duration::from_ms(60000);
         CHECK_FALSE(leader.node.has_lease(leader.now));
     }
 
-    SECTION("counts from when a message was sent, not from when its answer came")
+    SECTION("the lease starts when the message was sent and not when its reply arrived")
     {
         const auto sent = leader.now.since_start().us();
-        leader.pass(300);
-        leader.hear(c2, 12, leader.node.term(), append_reply{true, 2, sent});
+        leader.advance(300);
+        leader.receive_from(c2, 12, leader.node.term(), append_reply{true, 2, sent});
         CHECK_FALSE(leader.node.has_lease(leader.now + duration::from_ms(190)));
     }
 
-    SECTION("a leader that hears from no majority steps down")
+    SECTION("a leader without contact to a majority steps down")
     {
-        leader.pass(1001);
+        leader.advance(1001);
         CHECK(leader.node.role() != role::leader);
     }
 }
 
-TEST_CASE("messages between replicas survive their encoding", "[quorum]")
+TEST_CASE("messages between replicas are unchanged by encoding and decoding", "[quorum]")
 {
     append_request request{3, 2, 1, 77, {command_at(4, 2)}};
     request.entries.front().command = std::string("\x00\xff binary", 9);
