--- a/tests/src/unit-quorum.cpp
+++ b/tests/src/unit-quorum.cpp
@@ -101,7 +101,7 @@
 
 } // namespace
 
-TEST_CASE("replicas grant and count votes by the election rules", "[quorum]")
+TEST_CASE("elections", "[quorum]")
 {
     driver follower(three_members());
 
@@ -330,7 +330,7 @@
     CHECK_FALSE(leader.node.has_lease(leader.now));
 }
 
-TEST_CASE("an entry is committed once a majority of the voters stored it", "[quorum]")
+TEST_CASE("commitment", "[quorum]")
 {
     driver leader(three_members({command_at(2, 2)}));
     leader.become_leader();
