--- a/include/flaxtiller/register/register_command.hpp
+++ b/include/flaxtiller/register/register_command.hpp
@@ -11,30 +11,33 @@
 namespace flaxtiller
 {
 
-/// @brief What a command does to a key.
+/// @brief The operation that a command performs on a key.
 enum class register_action
 {
-    /// Ask to run the request.
+    /// Requests permission to run the request with this key.
     begin,
-    /// Record the outcome.
+    /// Records the outcome of the run.
     finish,
 };
 
 NLOHMANN_JSON_SERIALIZE_ENUM(register_action,
                              {{register_action::begin, "begin"}, {register_action::finish, "finish"}})
 
-/// @brief A command of the replicated register.
+/// @brief A command for the replicated register; see @ref register_state.
 struct register_command
 {
     register_action action = register_action::begin;
+    /// The key that the caller chose for the request.
     request_key key;
+    /// The digest of the request's content.
     std::uint64_t digest = 0;
+    /// The creation time of the key, in Unix milliseconds.
     std::int64_t key_time_ms = 0;
-    /// Names this one asking: a begin that is sent again by the same asker gets its grant again.
+    /// Identifies the requester. A repeated `begin` of the same requester is granted again.
     std::string asker;
-    /// The leader's wall clock when it took the command, in Unix milliseconds.
+    /// The leader's wall clock when it received the command, in Unix milliseconds.
     std::int64_t now_ms = 0;
-    /// With `finish`: what became of it, and the answer as JSON text.
+    /// With `finish`: the outcome of the request, and the answer as JSON text.
     enum outcome outcome = outcome::unknown;
     std::string answer;
 
--- a/include/flaxtiller/register/register_reply.hpp
+++ b/include/flaxtiller/register/register_reply.hpp
@@ -9,22 +9,23 @@
 namespace flaxtiller
 {
 
-/// @brief What the register says when a request that may not be repeated asks to begin.
+/// @brief The register's decision on a `begin` command for a request that may not be repeated.
 enum class register_status
 {
-    /// Nobody knows whether this was recorded: the register can't be reached.
+    /// The register is unreachable. It is not known whether the command was recorded.
     unreachable,
-    /// Recorded on a majority of the disks; the asker, and nobody else ever, may run it.
+    /// The grant is recorded on a majority of the disks. Only this requester may run the request.
     granted,
-    /// Another asker was granted it and its outcome isn't recorded yet; it may have been run.
+    /// The key was granted to another requester, whose outcome is not recorded yet. The request may have been
+    /// run.
     in_progress,
-    /// It was run; the answer is here.
+    /// The request was run; the reply holds the recorded answer.
     done,
-    /// It may have been run and will never be run again.
+    /// The request may have been run and will not be run again.
     unknown,
-    /// The same key was used for another request.
+    /// The key was used for another request.
     key_reused,
-    /// The key is older than keys are kept, or its time lies in the future.
+    /// The key is older than the retention time, or its time is too far in the future.
     key_expired,
 };
 
@@ -36,11 +37,11 @@
                                                {register_status::key_reused, "key_reused"},
                                                {register_status::key_expired, "key_expired"}})
 
-/// @brief The register's answer to a begin.
+/// @brief The register's reply to a command.
 struct register_reply
 {
     register_status status = register_status::unreachable;
-    /// With `done`: the recorded answer, as JSON text.
+    /// With `done`: the recorded answer as JSON text.
     std::string answer;
 
     bool operator==(const register_reply&) const = default;
--- a/src/register/register_state.cpp
+++ b/src/register/register_state.cpp
@@ -7,9 +7,9 @@
 
 register_reply register_state::apply(const register_command& command)
 {
-    // The time only grows: a leader whose clock is behind can't bring a forgotten key back.
+    // The time never decreases, so that a leader with a slow clock cannot accept a removed key again.
     m_now_ms = std::max(m_now_ms, command.now_ms);
-    forget_old();
+    remove_expired();
     return command.action == register_action::begin ? begin(command) : finish(command);
 }
 
@@ -22,7 +22,7 @@
     }
     catch (const nlohmann::json::exception&)
     {
-        // Every replica fails in the same way, so the states stay equal.
+        // Every replica fails in the same way, so that their states remain equal.
         reply = {};
     }
     std::string bytes;
@@ -36,16 +36,16 @@
     if (found == m_entries.end())
     {
         const bool too_old = command.key_time_ms < m_now_ms - retention_ms;
-        const bool too_new = command.key_time_ms > m_now_ms + most_ahead_ms;
+        const bool too_new = command.key_time_ms > m_now_ms + max_ahead_ms;
         if (too_old || too_new)
         {
             return {register_status::key_expired, {}};
         }
-        entry fresh;
-        fresh.digest = command.digest;
-        fresh.key_time_ms = command.key_time_ms;
-        fresh.asker = command.asker;
-        m_entries.emplace(command.key, fresh);
+        entry created;
+        created.digest = command.digest;
+        created.key_time_ms = command.key_time_ms;
+        created.asker = command.asker;
+        m_entries.emplace(command.key, created);
         m_by_time.emplace(command.key_time_ms, command.key);
         return {register_status::granted, {}};
     }
@@ -56,9 +56,9 @@
     }
     if (!known.finished)
     {
-        // The same asker only repeats its own question, as after a change of leader.
-        const bool same = known.asker == command.asker;
-        return {same ? register_status::granted : register_status::in_progress, {}};
+        // The same requester repeats its command, for example after a change of the leader.
+        const bool same_requester = known.asker == command.asker;
+        return {same_requester ? register_status::granted : register_status::in_progress, {}};
     }
     switch (known.outcome)
     {
@@ -95,7 +95,7 @@
     return {register_status::done, known.answer};
 }
 
-void register_state::forget_old()
+void register_state::remove_expired()
 {
     while (!m_by_time.empty() && m_by_time.begin()->first < m_now_ms - retention_ms)
     {
--- a/tests/src/unit-register.cpp
+++ b/tests/src/unit-register.cpp
@@ -21,33 +21,33 @@
     return command;
 }
 
-register_command finish(const std::string& key, const std::string& asker, outcome became)
+register_command finish(const std::string& key, const std::string& asker, outcome result)
 {
     register_command command = begin(key, asker);
     command.action = register_action::finish;
-    command.outcome = became;
+    command.outcome = result;
     command.answer = "paid";
     return command;
 }
 
 } // namespace
 
-TEST_CASE("the register of requests that may not be repeated", "[register]")
+TEST_CASE("the register grants a request that may not be repeated to one requester", "[register]")
 {
     register_state state;
     REQUIRE(state.apply(begin("refund", "e1")).status == register_status::granted);
 
-    SECTION("while it isn't known what became of it, nobody else may run it")
+    SECTION("no other requester may run the request while its outcome is not recorded")
     {
         CHECK(state.apply(begin("refund", "e2")).status == register_status::in_progress);
     }
 
-    SECTION("the same asker's begin, sent again to another leader, is its own grant")
+    SECTION("a repeated begin of the same requester is granted again")
     {
         CHECK(state.apply(begin("refund", "e1")).status == register_status::granted);
     }
 
-    SECTION("once run, everyone gets the recorded answer")
+    SECTION("after the run every requester receives the recorded answer")
     {
         (void)state.apply(finish("refund", "e1", outcome::run));
         const register_reply again = state.apply(begin("refund", "e2"));
@@ -55,47 +55,47 @@
         CHECK(again.answer == "paid");
     }
 
-    SECTION("once unknown, never again")
+    SECTION("a request with an unknown outcome is never granted again")
     {
         (void)state.apply(finish("refund", "e1", outcome::unknown));
         CHECK(state.apply(begin("refund", "e2")).status == register_status::unknown);
         CHECK(state.apply(begin("refund", "e1")).status == register_status::unknown);
     }
 
-    SECTION("proved not run, it may be granted once more")
+    SECTION("a request that was not run is granted again")
     {
         (void)state.apply(finish("refund", "e1", outcome::not_run));
         CHECK(state.apply(begin("refund", "e2")).status == register_status::granted);
         CHECK(state.apply(begin("refund", "e3")).status == register_status::in_progress);
-        // The first asker's late word on its own run changes nothing.
+        // A late outcome of the first requester has no effect.
         (void)state.apply(finish("refund", "e1", outcome::not_run));
         CHECK(state.apply(begin("refund", "e3")).status == register_status::in_progress);
     }
 
-    SECTION("the same key with another body is refused")
+    SECTION("a key is refused for a request with another digest")
     {
         register_command other = begin("refund", "e2");
         other.digest = 12;
         CHECK(state.apply(other).status == register_status::key_reused);
     }
 
-    SECTION("keys are forgotten after a stated time, and refused from then on")
+    SECTION("keys are removed after the retention time and refused afterwards")
     {
         const std::int64_t later = start_ms + register_state::retention_ms + 1;
         CHECK(state.apply(begin("refund", "e2", later)).status == register_status::key_expired);
         CHECK(state.size() == 0);
-        // Also if the next leader's clock is behind.
+        // The key is also refused if the clock of the next leader is slow.
         CHECK(state.apply(begin("refund", "e2", start_ms)).status == register_status::key_expired);
     }
 
-    SECTION("a key from the future is refused, since it would be kept too long")
+    SECTION("a key with a time in the future is refused, since it would be kept too long")
     {
-        register_command early = begin("other", "e1");
-        early.key_time_ms = start_ms + register_state::most_ahead_ms + 1;
-        CHECK(state.apply(early).status == register_status::key_expired);
+        register_command future = begin("other", "e1");
+        future.key_time_ms = start_ms + register_state::max_ahead_ms + 1;
+        CHECK(state.apply(future).status == register_status::key_expired);
     }
 
-    SECTION("a snapshot keeps all of it")
+    SECTION("a snapshot holds the complete state")
     {
         (void)state.apply(finish("refund", "e1", outcome::run));
         register_state restored = register_state::deserialize(state.serialize());
