--- a/include/flaxtiller/quorum/replicated_log.hpp
+++ b/include/flaxtiller/quorum/replicated_log.hpp
@@ -27,10 +27,10 @@
     const log_entry& at(log_index index) const;
 
     /// @param from the index of the first entry
-    /// @param most the maximum number of entries
-    /// @param most_bytes once the commands of the entries exceed this size, no further entry is added
+    /// @param max_entries the maximum number of entries
+    /// @param max_bytes once the commands of the entries exceed this size, no further entry is added
     /// @return consecutive entries
-    std::vector<log_entry> slice(log_index from, std::size_t most, std::size_t most_bytes) const;
+    std::vector<log_entry> slice(log_index from, std::size_t max_entries, std::size_t max_bytes) const;
 
     /// @brief Appends an entry. Its index must follow the last index.
     void append(log_entry entry);
--- a/src/quorum/replica_leading.cpp
+++ b/src/quorum/replica_leading.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-constexpr std::size_t most_entries_per_append = 512;
-constexpr std::size_t most_bytes_per_append = std::size_t{1} << 20U;
+constexpr std::size_t max_entries_per_append = 512;
+constexpr std::size_t max_bytes_per_append = std::size_t{1} << 20U;
 
 } // namespace
 
@@ -134,7 +134,7 @@
     request.previous_term = m_log.term_at(request.previous_index).value_or(0);
     request.commit = m_commit;
     request.sent_at_us = now.since_start().us();
-    request.entries = m_log.slice(state.next, most_entries_per_append, most_bytes_per_append);
+    request.entries = m_log.slice(state.next, max_entries_per_append, max_bytes_per_append);
     // The request is assumed to arrive, and the next one continues after its entries. The reply to the next
     // heartbeat reveals a lost request.
     state.next += static_cast<log_index>(request.entries.size());
--- a/src/quorum/replicated_log.cpp
+++ b/src/quorum/replicated_log.cpp
@@ -42,11 +42,12 @@
     return m_entries.at(static_cast<std::size_t>(index - first_index()));
 }
 
-std::vector<log_entry> replicated_log::slice(log_index from, std::size_t most, std::size_t most_bytes) const
+std::vector<log_entry> replicated_log::slice(log_index from, std::size_t max_entries,
+                                             std::size_t max_bytes) const
 {
     std::vector<log_entry> picked;
     std::size_t bytes = 0;
-    for (log_index i = from; i <= last_index() && picked.size() < most && bytes <= most_bytes; ++i)
+    for (log_index i = from; i <= last_index() && picked.size() < max_entries && bytes <= max_bytes; ++i)
     {
         picked.push_back(at(i));
         bytes += picked.back().command.size();
--- a/tests/src/unit-quorum-schedules.cpp
+++ b/tests/src/unit-quorum-schedules.cpp
@@ -20,28 +20,29 @@
     std::size_t committed = 0;
     std::size_t elections = 0;
     std::size_t repairs = 0;
-    const bool held = rc::check(name,
-                                [&]
-                                {
-                                    const auto seed = *rc::gen::noShrink(
-                                        rc::gen::resize(100, rc::gen::arbitrary<std::uint64_t>()));
-                                    quorum_harness harness(seed, replicas);
-                                    const std::string violated = harness.run(steps);
-                                    const std::string stuck = violated.empty() ? harness.settle() : violated;
-                                    if (!stuck.empty())
-                                    {
-                                        RC_FAIL("seed " + std::to_string(seed) + ": " + stuck);
-                                    }
-                                    committed += harness.committed();
-                                    elections += harness.elections();
-                                    repairs += harness.repairs();
-                                });
+    const bool passed =
+        rc::check(name,
+                  [&]
+                  {
+                      const auto seed =
+                          *rc::gen::noShrink(rc::gen::resize(100, rc::gen::arbitrary<std::uint64_t>()));
+                      quorum_harness harness(seed, replicas);
+                      const std::string violation = harness.run(steps);
+                      const std::string failure = violation.empty() ? harness.settle() : violation;
+                      if (!failure.empty())
+                      {
+                          RC_FAIL("seed " + std::to_string(seed) + ": " + failure);
+                      }
+                      committed += harness.committed();
+                      elections += harness.elections();
+                      repairs += harness.repairs();
+                  });
     // The schedules must contain enough of the events under test.
     INFO("committed " << committed << ", elections " << elections << ", repairs " << repairs);
     CHECK(committed > 10000);
     CHECK(elections > 3000);
     CHECK(repairs > 300);
-    return held;
+    return passed;
 }
 
 } // namespace
