--- a/include/flaxtiller/registration/live_placement.hpp
+++ b/include/flaxtiller/registration/live_placement.hpp
@@ -32,7 +32,7 @@
     std::shared_ptr<const placement> current();
 
   private:
-    void take(const registration& change);
+    void apply_one(const registration& change);
 
     placer m_placer;
     shared_map<service_name, service> m_services;
--- a/include/flaxtiller/registration/registration.hpp
+++ b/include/flaxtiller/registration/registration.hpp
@@ -52,13 +52,13 @@
     }
 
     /// @return whether this is a later word than @a other, of the same life or a later one
-    bool is_later_than(const registration& other) const noexcept
+    bool is_newer_than(const registration& other) const noexcept
     {
         return born_ms == other.born_ms ? sequence > other.sequence : born_ms > other.born_ms;
     }
 
     /// @return whether only the sequence and the warm-up differ
-    bool same_standing(const registration& other) const
+    bool has_same_status(const registration& other) const
     {
         return born_ms == other.born_ms && service == other.service && address == other.address &&
                slots == other.slots && state == other.state && availability_zone == other.availability_zone &&
--- /dev/null
+++ b/include/flaxtiller/registration/registration_publisher.hpp
@@ -0,0 +1,144 @@
+#pragma once
+
+#include <flaxtiller/core/time_point.hpp>
+#include <flaxtiller/registration/registration.hpp>
+
+#include <algorithm>
+#include <cstddef>
+#include <cstdint>
+#include <deque>
+#include <map>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
+
+namespace flaxtiller
+{
+
+/// @brief Decides which registrations a control replica sends to which peers, and when. Deterministic.
+///
+/// The other control replicas receive the changes that arrived here from backend servers. The followers,
+/// which are the instances that follow this replica, receive all changes. A peer whose digest of the registry
+/// differs for too long receives the full list.
+///
+/// The traffic stays bounded when all instances and backend servers start at the same time: messages to slow
+/// or unreachable peers are limited by a rate, one full list serves all peers that need it, and a peer that
+/// merely lags behind receives no additional messages.
+class registration_publisher
+{
+  public:
+    /// Backend servers that become ready within this time share a message. One that is leaving or left is
+    /// reported immediately.
+    static constexpr duration batch_window = duration::from_ms(100);
+    /// The minimum time between two full lists to the same peer. A remaining difference may mean that the
+    /// peer knows more than this replica, and the additional changes arrive without a request.
+    static constexpr duration full_list_resend_after = duration::from_ms(5000);
+    /// A digest mismatch that lasts longer can't be explained by a change in transit.
+    static constexpr duration digest_mismatch_bound = duration::from_ms(1500);
+    /// The bound between replicas while registrations change. The digests differ all the time if each replica
+    /// receives heartbeats of new backend servers.
+    static constexpr duration digest_mismatch_bound_in_flux = duration::from_ms(15000);
+    /// The minimum pause between two full lists, and the pause per list item. The pause grows with the list,
+    /// so that sending lists takes a small part of the time.
+    static constexpr duration full_list_interval = duration::from_ms(250);
+    static constexpr duration full_list_pause_per_item = duration::from_ms(0.2);
+    /// The pause between two messages of changes, per receiver.
+    static constexpr duration pause_per_receiver = duration::from_ms(1.0);
+    /// Instances that follow an unreachable replica receive changes from this one, at this interval and with
+    /// this number of changes at most.
+    static constexpr duration non_follower_interval = duration::from_ms(500);
+    static constexpr std::size_t max_items_to_non_followers = 64;
+
+    /// @brief A message to send.
+    struct outgoing
+    {
+        std::vector<std::string> to;
+        /// Whether the message carries the full list of registrations, in place of @ref changes.
+        bool whole = false;
+        std::vector<registration> changes;
+
+        bool operator==(const outgoing&) const = default;
+    };
+
+    /// @brief Sets the names of the other control replicas.
+    void set_replicas(std::set<std::string> others);
+
+    /// @return the other control replicas
+    const std::set<std::string>& replicas() const noexcept
+    {
+        return m_replicas;
+    }
+
+    /// @brief Handles changes of the registry.
+    /// @param own whether the changes came directly from backend servers, not from another replica
+    /// @param digest the digest of the registry after the changes
+    void on_changes(const std::vector<registration>& changes, bool own, std::uint64_t digest, time_point now);
+
+    /// @brief Makes the collected changes due without waiting for the end of the batch. For use after the
+    /// registrations of the previous run of this process were restored, when no further changes are expected.
+    void expedite_changes(time_point now) noexcept
+    {
+        m_changes_due_at = std::min(m_changes_due_at, now);
+    }
+
+    /// @brief Handles the registry digest of a peer.
+    /// @param own the registry digest of this replica
+    /// @return whether the mismatch lasted so long that the peer will be sent the full list
+    bool on_digest(const std::string& from, std::uint64_t digest, std::uint64_t own, time_point now);
+
+    /// @brief Schedules the full list for a peer that may know no registrations.
+    void request_full_list(const std::string& peer);
+
+    /// @brief Handles the loss of the link to a peer.
+    void on_lost(const std::string& peer);
+
+    /// @return whether @ref take would return messages
+    bool is_due(time_point now) const noexcept;
+
+    /// @brief Removes and returns the messages that are due.
+    /// @param reachable the peers that have a link
+    /// @param known the number of known backend servers
+    std::vector<outgoing> take(const std::set<std::string>& reachable, std::size_t known, time_point now);
+
+  private:
+    struct receivers
+    {
+        std::vector<std::string> replicas;
+        std::vector<std::string> followers;
+        std::vector<std::string> non_followers;
+    };
+
+    bool are_changes_due(time_point now) const noexcept;
+    bool is_full_list_due(time_point now) const noexcept;
+    bool are_non_followers_due(time_point now) const noexcept;
+    time_point last_change_at() const noexcept;
+    receivers sort(const std::set<std::string>& reachable, time_point now) const;
+    bool was_recent_digest(std::uint64_t digest, time_point now) const;
+    void send_changes(const receivers& to, bool replica_unreachable, time_point now,
+                      std::vector<outgoing>& output);
+    void send_to_non_followers(const receivers& to, std::vector<outgoing>& output);
+    void send_full_list(const std::set<std::string>& reachable, std::size_t known, time_point now,
+                    std::vector<outgoing>& output);
+
+    std::set<std::string> m_replicas;
+    /// The changes that came directly from backend servers, and all changes; the time at which they are due,
+    /// and the end of the pause before which they aren't sent.
+    std::vector<registration> m_own_changes;
+    std::vector<registration> m_all_changes;
+    time_point m_changes_due_at = time_point::never();
+    time_point m_changes_paused_until{};
+    std::vector<registration> m_non_follower_changes;
+    time_point m_non_followers_due_at = time_point::never();
+    std::set<std::string> m_full_list_pending;
+    time_point m_full_list_paused_until{};
+    /// The instances that follow this replica, with the time of their last digest.
+    std::map<std::string, time_point> m_followers;
+    /// The time since which the digest of a peer differs, and the time of the last full list to a peer.
+    std::map<std::string, time_point> m_mismatch_since;
+    std::map<std::string, time_point> m_full_list_sent_at;
+    /// The recent digests of the registry. A peer that reports one of them merely lags behind.
+    std::deque<std::pair<time_point, std::uint64_t>> m_digests;
+};
+
+} // namespace flaxtiller
--- a/include/flaxtiller/registration/registry.hpp
+++ b/include/flaxtiller/registration/registry.hpp
@@ -11,17 +11,17 @@
 {
 
 /// @brief That a backend server's heartbeat was received.
-struct sign_of_life
+struct heartbeat_receipt
 {
     backend_server_name id;
     std::int64_t sequence = 0;
     std::int64_t born_ms = 0;
 
-    bool operator==(const sign_of_life&) const = default;
+    bool operator==(const heartbeat_receipt&) const = default;
 };
 
-void to_json(nlohmann::json& j, const sign_of_life& value);
-void from_json(const nlohmann::json& j, sign_of_life& value);
+void to_json(nlohmann::json& j, const heartbeat_receipt& value);
+void from_json(const nlohmann::json& j, heartbeat_receipt& value);
 
 /// @brief The backend servers that register themselves, as one process knows them. Soft state: after a loss
 /// of everything it fills again from the heartbeats. Deterministic.
@@ -36,11 +36,11 @@
     static constexpr duration warmup_tolerance = duration::from_ms(250);
 
     /// How long an id that is gone is remembered, so that late heartbeats don't bring it back.
-    static constexpr duration gone_kept = duration::from_ms(60000);
+    static constexpr duration gone_retention = duration::from_ms(60000);
 
     /// @brief A backend server's own heartbeat.
     /// @return whether its standing changed
-    bool on_heartbeat(const registration& said, time_point now);
+    bool on_heartbeat(const registration& report, time_point now);
 
     /// @brief A backend server deregistered. An unknown id is remembered as gone, too.
     /// @param born_ms which of its lives ends; 0 for the one that is known
@@ -48,31 +48,31 @@
 
     /// @brief Another process's word on a backend server.
     /// @return whether the standing changed here
-    bool merge(const registration& said, time_point now);
+    bool merge(const registration& report, time_point now);
 
     /// @brief Calls lost what @a all, a process's whole knowledge, doesn't have.
     /// @return whether any standing changed
-    bool keep_only(const std::vector<registration>& all, time_point now);
+    bool mark_unlisted_lost(const std::vector<registration>& all, time_point now);
 
     /// @brief Takes in what an earlier life of this process knew. Only ids that are unknown are taken; one
     /// that isn't heard again soon is to be called lost by @ref drop_unconfirmed.
     /// @return how many were taken
-    std::size_t restore(const std::vector<registration>& before, time_point now);
+    std::size_t restore(const std::vector<registration>& restored, time_point now);
 
     /// @brief Calls lost what was restored and not heard of for @a age since.
     /// @return whether any standing changed
-    bool drop_unconfirmed(duration age, time_point now);
+    bool mark_unconfirmed_lost(duration age, time_point now);
 
     /// @brief Calls lost what was restored and isn't in @a all, the knowledge of a process that didn't
     /// restart.
     /// @return whether any standing changed
-    bool drop_unconfirmed(const std::vector<registration>& all);
+    bool mark_unconfirmed_lost(const std::vector<registration>& all);
 
     /// @return whether anything that was restored is still unheard
     bool has_unconfirmed() const noexcept;
 
     /// @brief Another process heard these backend servers lately.
-    void on_heard(const std::vector<sign_of_life>& heard, time_point now);
+    void on_heartbeat_receipts(const std::vector<heartbeat_receipt>& receipts, time_point now);
 
     /// @brief Calls lost what wasn't heard for @a silence, and forgets what is long gone.
     /// @return whether any standing changed
@@ -82,7 +82,7 @@
     std::vector<registration> take_changes();
 
     /// @return whose own heartbeats were received since the last call
-    std::vector<sign_of_life> take_heard();
+    std::vector<heartbeat_receipt> take_heartbeat_receipts();
 
     /// @return all that is known, for a process that starts or fell behind, with the warm-ups as of now
     std::vector<registration> all(time_point now) const;
@@ -99,33 +99,33 @@
     /// @return how many ids are known, also those that are gone
     std::size_t size() const noexcept
     {
-        return m_known.size();
+        return m_servers.size();
     }
 
   private:
-    struct known
+    struct registered_server
     {
-        registration said;
-        time_point heard_at{};
+        registration report;
+        time_point last_heartbeat_at{};
         /// When its warm-up is over, by its last word.
-        time_point cold_until{};
+        time_point warmup_ends_at{};
         time_point gone_at{};
         /// Whether its own heartbeat came since @ref take_heard.
-        bool fresh = false;
+        bool receipt_pending = false;
         /// Whether it is only known from an earlier life of this process.
         bool unconfirmed = false;
     };
 
-    bool take(known& item, const registration& said, time_point now);
-    void confirm(known& item) noexcept;
-    void lose(known& item);
+    bool accept(registered_server& item, const registration& report, time_point now);
+    void confirm(registered_server& item) noexcept;
+    void mark_lost(registered_server& item);
     template <typename Condition>
-    bool lose_if(Condition loses);
+    bool mark_lost_if(Condition is_lost);
 
-    std::map<backend_server_name, known> m_known;
+    std::map<backend_server_name, registered_server> m_servers;
     std::vector<registration> m_changes;
     std::uint64_t m_digest = 0;
-    std::size_t m_unconfirmed = 0;
+    std::size_t m_unconfirmed_count = 0;
 };
 
 } // namespace flaxtiller
--- a/include/flaxtiller/registration/warmup_tracker.hpp
+++ b/include/flaxtiller/registration/warmup_tracker.hpp
@@ -32,22 +32,22 @@
 {
   public:
     /// @brief A backend server's word, or that it went.
-    void on_registration(const registration& said, time_point now);
+    void on_registration(const registration& report, time_point now);
 
     /// @brief Backend servers of these availability zones may get work again. They may have turned cold a
     /// moment ago, and their word on it may still be on its way: heartbeats come about every second, and
     /// seconds late. So each counts as cold for as long as its service says, or until it says otherwise.
     /// @param services those of the configuration in force
     /// @complexity O(registered)
-    void on_zones_back(const std::set<std::string>& zones, const std::vector<registration>& registered,
+    void on_zones_restored(const std::set<std::string>& zones, const std::vector<registration>& registered,
                        const std::map<service_name, service>& services, time_point now);
 
     /// @return those that are cold now; the same object while nothing changed
     const shared_value<cold_servers>& current(time_point now);
 
   private:
-    void note(const backend_server_name& server, const cold_server& cold);
-    void forget(const backend_server_name& server);
+    void mark_cold(const backend_server_name& server, const cold_server& cold);
+    void unmark(const backend_server_name& server);
 
     cold_servers m_cold;
     shared_value<cold_servers> m_current;
--- a/src/control/control_links.cpp
+++ b/src/control/control_links.cpp
@@ -101,7 +101,7 @@
     }
     else if (const auto* heard = std::get_if<registration_heard>(&message))
     {
-        hub.on_heard(*heard, now);
+        hub.on_heartbeat_receipts(*heard, now);
     }
     else if (const auto* digest = std::get_if<registration_digest>(&message))
     {
--- a/src/entry/entry_configuration.cpp
+++ b/src/entry/entry_configuration.cpp
@@ -116,7 +116,7 @@
         std::set<std::string> back;
         std::set_difference(evacuated_zones.begin(), evacuated_zones.end(), current.evacuated_zones.begin(),
                             current.evacuated_zones.end(), std::inserter(back, back.end()));
-        warmups.on_zones_back(back, registered.present(), current.services, clock.now());
+        warmups.on_zones_restored(back, registered.present(), current.services, clock.now());
         evacuated_zones = current.evacuated_zones;
         log(log_level::info, "zones_evacuated",
             {{"zones", nlohmann::json(evacuated_zones).dump()}, {"revision", subscriber.revision()}});
--- a/src/entry/entry_links.cpp
+++ b/src/entry/entry_links.cpp
@@ -131,7 +131,7 @@
     }
     if (update.whole)
     {
-        changed = registered.keep_only(update.items, now) || changed;
+        changed = registered.mark_unlisted_lost(update.items, now) || changed;
     }
     if (!changed)
     {
--- a/src/registration/live_placement.cpp
+++ b/src/registration/live_placement.cpp
@@ -7,11 +7,11 @@
                                const std::vector<registration>& registered)
 {
     // Most changes are to routes.
-    const bool places_alike = !m_services.empty() && value.services == m_services &&
+    const bool same_placement_input = !m_services.empty() && value.services == m_services &&
                               value.placement_rules == m_rules && value.backend_servers == m_declared &&
                               value.evacuated_zones == m_evacuated_zones &&
                               value.instances == m_current->instances;
-    if (places_alike)
+    if (same_placement_input)
     {
         m_placer.set_revision(revision);
         m_is_current = false;
@@ -35,11 +35,11 @@
     m_is_current = false;
     for (const registration& change : changes)
     {
-        take(change);
+        apply_one(change);
     }
 }
 
-void live_placement::take(const registration& change)
+void live_placement::apply_one(const registration& change)
 {
     const auto service = m_services.find(change.service);
     if (change.is_present() && service != m_services.end())
--- /dev/null
+++ b/src/registration/registration_publisher.cpp
@@ -0,0 +1,233 @@
+#include <flaxtiller/registration/registration_publisher.hpp>
+
+#include <flaxtiller/distribution/publisher.hpp>
+
+#include <algorithm>
+
+namespace flaxtiller
+{
+
+namespace
+{
+
+/// The longest lag of a peer that still counts as up to date.
+constexpr duration digest_retention = duration::from_ms(10000);
+
+} // namespace
+
+void registration_publisher::set_replicas(std::set<std::string> others)
+{
+    m_replicas = std::move(others);
+}
+
+void registration_publisher::on_changes(const std::vector<registration>& changes, bool own,
+                                        std::uint64_t digest, time_point now)
+{
+    for (const registration& item : changes)
+    {
+        const bool unavailable = item.state != registration_state::ready;
+        m_changes_due_at = std::min(m_changes_due_at, unavailable ? now : now + batch_window);
+        m_all_changes.push_back(item);
+        if (own)
+        {
+            m_own_changes.push_back(item);
+        }
+    }
+    m_digests.emplace_back(now, digest);
+    while (now - m_digests.front().first > digest_retention)
+    {
+        m_digests.pop_front();
+    }
+}
+
+bool registration_publisher::was_recent_digest(std::uint64_t digest, time_point now) const
+{
+    return std::any_of(m_digests.rbegin(), m_digests.rend(),
+                       [&](const auto& item)
+                       {
+                           return item.second == digest && now - item.first <= digest_retention;
+                       });
+}
+
+bool registration_publisher::on_digest(const std::string& from, std::uint64_t digest, std::uint64_t own,
+                                    time_point now)
+{
+    const bool replica = m_replicas.count(from) > 0;
+    if (!replica)
+    {
+        m_followers[from] = now;
+    }
+    if (digest == own || (digest != 0 && was_recent_digest(digest, now)))
+    {
+        m_mismatch_since.erase(from);
+        return false;
+    }
+    const auto sent = m_full_list_sent_at.find(from);
+    if (sent != m_full_list_sent_at.end() && now - sent->second < full_list_resend_after)
+    {
+        return false;
+    }
+    if (digest == 0)
+    {
+        // The peer knows no registrations, which isn't a matter of changes in transit.
+        // The full list is due without waiting for the mismatch to last.
+        m_full_list_pending.insert(from);
+        return false;
+    }
+    const bool in_flux = replica && now - last_change_at() <= digest_mismatch_bound;
+    const auto since = m_mismatch_since.emplace(from, now).first;
+    if (now - since->second <= (in_flux ? digest_mismatch_bound_in_flux : digest_mismatch_bound))
+    {
+        return false;
+    }
+    m_mismatch_since.erase(since);
+    m_full_list_pending.insert(from);
+    return true;
+}
+
+void registration_publisher::request_full_list(const std::string& peer)
+{
+    m_full_list_pending.insert(peer);
+}
+
+void registration_publisher::on_lost(const std::string& peer)
+{
+    m_followers.erase(peer);
+    m_mismatch_since.erase(peer);
+    m_full_list_sent_at.erase(peer);
+    m_full_list_pending.erase(peer);
+}
+
+bool registration_publisher::is_due(time_point now) const noexcept
+{
+    return are_changes_due(now) || is_full_list_due(now) || are_non_followers_due(now);
+}
+
+bool registration_publisher::are_changes_due(time_point now) const noexcept
+{
+    return m_changes_due_at != time_point::never() &&
+           now >= std::max(m_changes_due_at, m_changes_paused_until);
+}
+
+bool registration_publisher::is_full_list_due(time_point now) const noexcept
+{
+    return !m_full_list_pending.empty() && now >= m_full_list_paused_until;
+}
+
+bool registration_publisher::are_non_followers_due(time_point now) const noexcept
+{
+    return now >= m_non_followers_due_at;
+}
+
+time_point registration_publisher::last_change_at() const noexcept
+{
+    return m_digests.empty() ? time_point{} : m_digests.back().first;
+}
+
+registration_publisher::receivers registration_publisher::sort(const std::set<std::string>& reachable,
+                                                         time_point now) const
+{
+    receivers sorted;
+    for (const std::string& peer : reachable)
+    {
+        const auto follows = m_followers.find(peer);
+        if (m_replicas.count(peer) > 0)
+        {
+            sorted.replicas.push_back(peer);
+        }
+        else if (follows != m_followers.end() &&
+                 now - follows->second < distribution::publisher::follower_age)
+        {
+            sorted.followers.push_back(peer);
+        }
+        else
+        {
+            sorted.non_followers.push_back(peer);
+        }
+    }
+    return sorted;
+}
+
+std::vector<registration_publisher::outgoing> registration_publisher::take(
+    const std::set<std::string>& reachable, std::size_t known, time_point now)
+{
+    std::vector<outgoing> messages;
+    const receivers to = sort(reachable, now);
+    const bool replica_unreachable = to.replicas.size() < m_replicas.size();
+    if (are_changes_due(now))
+    {
+        send_changes(to, replica_unreachable, now, messages);
+    }
+    if (are_non_followers_due(now))
+    {
+        send_to_non_followers(to, messages);
+    }
+    if (is_full_list_due(now))
+    {
+        send_full_list(reachable, known, now, messages);
+    }
+    return messages;
+}
+
+void registration_publisher::send_changes(const receivers& to, bool replica_unreachable, time_point now,
+                                 std::vector<outgoing>& output)
+{
+    m_changes_due_at = time_point::never();
+    m_changes_paused_until = now + pause_per_receiver * static_cast<double>(to.followers.size());
+    if (replica_unreachable)
+    {
+        // The digests reveal changes beyond this limit once the replicas have a link again.
+        const std::size_t room = max_items_to_non_followers -
+                                 std::min(m_non_follower_changes.size(), max_items_to_non_followers);
+        const auto taken = static_cast<std::ptrdiff_t>(std::min(room, m_all_changes.size()));
+        m_non_follower_changes.insert(m_non_follower_changes.end(), m_all_changes.begin(),
+                                      m_all_changes.begin() + taken);
+        m_non_followers_due_at = std::min(m_non_followers_due_at, now + non_follower_interval);
+    }
+    if (!m_own_changes.empty() && !to.replicas.empty())
+    {
+        output.push_back({to.replicas, false, m_own_changes});
+    }
+    if (!m_all_changes.empty() && !to.followers.empty())
+    {
+        output.push_back({to.followers, false, m_all_changes});
+    }
+    m_own_changes.clear();
+    m_all_changes.clear();
+}
+
+/// Some of these instances follow a replica that is unreachable from here and can't forward the changes.
+void registration_publisher::send_to_non_followers(const receivers& to, std::vector<outgoing>& output)
+{
+    m_non_followers_due_at = time_point::never();
+    if (!m_non_follower_changes.empty() && !to.non_followers.empty())
+    {
+        output.push_back({to.non_followers, false, m_non_follower_changes});
+    }
+    m_non_follower_changes.clear();
+}
+
+void registration_publisher::send_full_list(const std::set<std::string>& reachable, std::size_t known,
+                                     time_point now, std::vector<outgoing>& output)
+{
+    outgoing message;
+    message.whole = true;
+    for (const std::string& peer : m_full_list_pending)
+    {
+        if (reachable.count(peer) > 0)
+        {
+            message.to.push_back(peer);
+            m_full_list_sent_at[peer] = now;
+        }
+    }
+    m_full_list_pending.clear();
+    if (message.to.empty())
+    {
+        return;
+    }
+    const duration pause = full_list_pause_per_item * static_cast<double>(known);
+    m_full_list_paused_until = now + std::max(full_list_interval, pause);
+    output.push_back(std::move(message));
+}
+
+} // namespace flaxtiller
--- a/src/registration/registry.cpp
+++ b/src/registration/registry.cpp
@@ -12,7 +12,7 @@
 {
 
 /// A word this fresh may just not have reached the other process yet.
-constexpr duration settle_bound = duration::from_ms(2000);
+constexpr duration settle_time = duration::from_ms(2000);
 
 bool is_gone(const registration& item) noexcept
 {
@@ -27,8 +27,8 @@
     {
         return 0;
     }
-    const std::uint64_t life = hash64(item.id.str(), static_cast<std::uint64_t>(item.born_ms));
-    return hash64(item.id.str(), life + static_cast<std::uint64_t>(item.state));
+    const std::uint64_t run_hash = hash64(item.id.str(), static_cast<std::uint64_t>(item.born_ms));
+    return hash64(item.id.str(), run_hash + static_cast<std::uint64_t>(item.state));
 }
 
 std::set<backend_server_name> ids_of(const std::vector<registration>& items)
@@ -43,152 +43,154 @@
 
 } // namespace
 
-void to_json(nlohmann::json& j, const sign_of_life& value)
+void to_json(nlohmann::json& j, const heartbeat_receipt& value)
 {
     // A list, not an object: each replica tells the others hundreds of them every few seconds.
     j = nlohmann::json::array({value.id, value.sequence, value.born_ms});
 }
 
-void from_json(const nlohmann::json& j, sign_of_life& value)
+void from_json(const nlohmann::json& j, heartbeat_receipt& value)
 {
     value.id = j.at(0).get<backend_server_name>();
     value.sequence = j.at(1).get<std::int64_t>();
     value.born_ms = j.at(2).get<std::int64_t>();
 }
 
-bool registry::take(known& item, const registration& said, time_point now)
+bool registry::accept(registered_server& item, const registration& report, time_point now)
 {
-    const bool unseen = item.said.id.empty();
-    const bool same_life = said.born_ms == item.said.born_ms;
-    if (!unseen && !(said.is_later_than(item.said) && !(same_life && is_gone(item.said))))
+    const bool first_report = item.report.id.empty();
+    const bool same_run = report.born_ms == item.report.born_ms;
+    if (!first_report && !(report.is_newer_than(item.report) && !(same_run && is_gone(item.report))))
     {
         // Its last word needs no number of its own, but must be of the life that is known.
-        const bool leaves = same_life && is_gone(said) && !is_gone(item.said);
-        if (!leaves)
+        const bool deregisters = same_run && is_gone(report) && !is_gone(item.report);
+        if (!deregisters)
         {
             return false;
         }
     }
     confirm(item);
-    const time_point cold_until = now + said.warmup_left;
-    const bool colder = cold_until > std::max(item.cold_until, now) + warmup_tolerance;
-    const bool warmer = cold_until + warmup_tolerance < item.cold_until;
-    const bool changed = unseen || colder || warmer || !item.said.same_standing(said);
-    if (said.state == registration_state::gone)
+    const time_point warmup_ends_at = now + report.warmup_left;
+    const bool longer_warmup = warmup_ends_at > std::max(item.warmup_ends_at, now) + warmup_tolerance;
+    const bool shorter_warmup = warmup_ends_at + warmup_tolerance < item.warmup_ends_at;
+    const bool changed =
+        first_report || longer_warmup || shorter_warmup || !item.report.has_same_status(report);
+    if (report.state == registration_state::gone)
     {
         item.gone_at = now;
     }
-    const std::int64_t sequence = same_life ? std::max(item.said.sequence, said.sequence) : said.sequence;
-    item.cold_until = changed ? cold_until : item.cold_until;
-    m_digest -= digest_of(item.said);
-    item.said = said;
-    item.said.sequence = sequence;
-    m_digest += digest_of(item.said);
-    item.heard_at = now;
+    const std::int64_t sequence =
+        same_run ? std::max(item.report.sequence, report.sequence) : report.sequence;
+    item.warmup_ends_at = changed ? warmup_ends_at : item.warmup_ends_at;
+    m_digest -= digest_of(item.report);
+    item.report = report;
+    item.report.sequence = sequence;
+    m_digest += digest_of(item.report);
+    item.last_heartbeat_at = now;
     if (changed)
     {
-        m_changes.push_back(item.said);
+        m_changes.push_back(item.report);
     }
     return changed;
 }
 
-bool registry::on_heartbeat(const registration& said, time_point now)
+bool registry::on_heartbeat(const registration& report, time_point now)
 {
-    known& item = m_known[said.id];
-    const bool changed = take(item, said, now);
-    item.fresh = item.said.state != registration_state::gone;
+    registered_server& item = m_servers[report.id];
+    const bool changed = accept(item, report, now);
+    item.receipt_pending = item.report.state != registration_state::gone;
     return changed;
 }
 
 bool registry::on_leave(const backend_server_name& id, std::int64_t born_ms, time_point now)
 {
-    known& item = m_known[id];
-    registration said = item.said;
-    said.id = id;
-    said.born_ms = born_ms != 0 ? born_ms : said.born_ms;
-    said.state = registration_state::gone;
-    return take(item, said, now);
+    registered_server& item = m_servers[id];
+    registration report = item.report;
+    report.id = id;
+    report.born_ms = born_ms != 0 ? born_ms : report.born_ms;
+    report.state = registration_state::gone;
+    return accept(item, report, now);
 }
 
-bool registry::merge(const registration& said, time_point now)
+bool registry::merge(const registration& report, time_point now)
 {
-    return take(m_known[said.id], said, now);
+    return accept(m_servers[report.id], report, now);
 }
 
-void registry::on_heard(const std::vector<sign_of_life>& heard, time_point now)
+void registry::on_heartbeat_receipts(const std::vector<heartbeat_receipt>& receipts, time_point now)
 {
-    for (const sign_of_life& sign : heard)
+    for (const heartbeat_receipt& receipt : receipts)
     {
-        const auto found = m_known.find(sign.id);
+        const auto found = m_servers.find(receipt.id);
         // A number of another life tells nothing of this one.
-        if (found != m_known.end() && sign.born_ms == found->second.said.born_ms &&
-            sign.sequence > found->second.said.sequence &&
-            found->second.said.state != registration_state::lost)
+        if (found != m_servers.end() && receipt.born_ms == found->second.report.born_ms &&
+            receipt.sequence > found->second.report.sequence &&
+            found->second.report.state != registration_state::lost)
         {
-            found->second.said.sequence = sign.sequence;
-            found->second.heard_at = now;
+            found->second.report.sequence = receipt.sequence;
+            found->second.last_heartbeat_at = now;
             confirm(found->second);
         }
     }
 }
 
-void registry::confirm(known& item) noexcept
+void registry::confirm(registered_server& item) noexcept
 {
-    m_unconfirmed -= item.unconfirmed ? 1 : 0;
+    m_unconfirmed_count -= item.unconfirmed ? 1 : 0;
     item.unconfirmed = false;
 }
 
-std::size_t registry::restore(const std::vector<registration>& before, time_point now)
+std::size_t registry::restore(const std::vector<registration>& restored, time_point now)
 {
-    std::size_t taken = 0;
-    for (const registration& said : before)
+    std::size_t restored_count = 0;
+    for (const registration& report : restored)
     {
-        if (!said.is_present() || m_known.count(said.id) > 0)
+        if (!report.is_present() || m_servers.count(report.id) > 0)
         {
             continue;
         }
-        known& item = m_known[said.id];
-        (void)take(item, said, now);
+        registered_server& item = m_servers[report.id];
+        (void)accept(item, report, now);
         item.unconfirmed = true;
-        ++m_unconfirmed;
-        ++taken;
+        ++m_unconfirmed_count;
+        ++restored_count;
     }
-    return taken;
+    return restored_count;
 }
 
 template <typename Condition>
-bool registry::lose_if(Condition loses)
+bool registry::mark_lost_if(Condition is_lost)
 {
     bool changed = false;
-    for (auto& [id, item] : m_known)
+    for (auto& [id, item] : m_servers)
     {
-        if (loses(id, item))
+        if (is_lost(id, item))
         {
-            lose(item);
+            mark_lost(item);
             changed = true;
         }
     }
     return changed;
 }
 
-bool registry::drop_unconfirmed(duration age, time_point now)
+bool registry::mark_unconfirmed_lost(duration age, time_point now)
 {
-    return has_unconfirmed() && lose_if(
-                                    [&](const backend_server_name&, const known& item)
+    return has_unconfirmed() && mark_lost_if(
+                                    [&](const backend_server_name&, const registered_server& item)
                                     {
-                                        return item.unconfirmed && now - item.heard_at > age;
+                                        return item.unconfirmed && now - item.last_heartbeat_at > age;
                                     });
 }
 
-bool registry::drop_unconfirmed(const std::vector<registration>& all)
+bool registry::mark_unconfirmed_lost(const std::vector<registration>& all)
 {
     if (!has_unconfirmed())
     {
         return false;
     }
     const std::set<backend_server_name> listed = ids_of(all);
-    return lose_if(
-        [&](const backend_server_name& id, const known& item)
+    return mark_lost_if(
+        [&](const backend_server_name& id, const registered_server& item)
         {
             return item.unconfirmed && listed.count(id) == 0;
         });
@@ -196,44 +198,46 @@
 
 bool registry::has_unconfirmed() const noexcept
 {
-    return m_unconfirmed > 0;
+    return m_unconfirmed_count > 0;
 }
 
-void registry::lose(known& item)
+void registry::mark_lost(registered_server& item)
 {
     confirm(item);
-    m_digest -= digest_of(item.said);
-    item.said.state = registration_state::lost;
+    m_digest -= digest_of(item.report);
+    item.report.state = registration_state::lost;
     // Ahead of the last heartbeat, so that this word wins where that one is known.
-    ++item.said.sequence;
-    m_changes.push_back(item.said);
+    ++item.report.sequence;
+    m_changes.push_back(item.report);
 }
 
-bool registry::keep_only(const std::vector<registration>& all, time_point now)
+bool registry::mark_unlisted_lost(const std::vector<registration>& all, time_point now)
 {
     const std::set<backend_server_name> listed = ids_of(all);
-    return lose_if(
-        [&](const backend_server_name& id, const known& item)
+    return mark_lost_if(
+        [&](const backend_server_name& id, const registered_server& item)
         {
-            return item.said.is_present() && listed.count(id) == 0 && now - item.heard_at > settle_bound;
+            return item.report.is_present() && listed.count(id) == 0 &&
+                   now - item.last_heartbeat_at > settle_time;
         });
 }
 
 bool registry::expire(duration silence, time_point now)
 {
-    const bool changed = lose_if(
-        [&](const backend_server_name&, const known& item)
+    const bool changed = mark_lost_if(
+        [&](const backend_server_name&, const registered_server& item)
         {
-            return item.said.is_present() && now - item.heard_at > silence;
+            return item.report.is_present() && now - item.last_heartbeat_at > silence;
         });
-    std::erase_if(m_known,
+    std::erase_if(m_servers,
                   [&](const auto& entry)
                   {
-                      const known& item = entry.second;
+                      const registered_server& item = entry.second;
                       const bool gone =
-                          item.said.state == registration_state::gone && now - item.gone_at > gone_kept;
-                      const bool lost = item.said.state == registration_state::lost &&
-                                        now - item.heard_at > silence + gone_kept;
+                          item.report.state == registration_state::gone &&
+                          now - item.gone_at > gone_retention;
+                      const bool lost = item.report.state == registration_state::lost &&
+                                        now - item.last_heartbeat_at > silence + gone_retention;
                       return gone || lost;
                   });
     return changed;
@@ -244,28 +248,28 @@
     return std::exchange(m_changes, {});
 }
 
-std::vector<sign_of_life> registry::take_heard()
+std::vector<heartbeat_receipt> registry::take_heartbeat_receipts()
 {
-    std::vector<sign_of_life> heard;
-    for (auto& [id, item] : m_known)
+    std::vector<heartbeat_receipt> receipts;
+    for (auto& [id, item] : m_servers)
     {
-        if (item.fresh)
+        if (item.receipt_pending)
         {
-            item.fresh = false;
-            heard.push_back({id, item.said.sequence, item.said.born_ms});
+            item.receipt_pending = false;
+            receipts.push_back({id, item.report.sequence, item.report.born_ms});
         }
     }
-    return heard;
+    return receipts;
 }
 
 std::vector<registration> registry::all(time_point now) const
 {
     std::vector<registration> items;
-    items.reserve(m_known.size());
-    for (const auto& [id, item] : m_known)
+    items.reserve(m_servers.size());
+    for (const auto& [id, item] : m_servers)
     {
-        items.push_back(item.said);
-        items.back().warmup_left = std::max(item.cold_until - now, duration{});
+        items.push_back(item.report);
+        items.back().warmup_left = std::max(item.warmup_ends_at - now, duration{});
     }
     return items;
 }
@@ -278,11 +282,11 @@
 std::vector<registration> registry::present() const
 {
     std::vector<registration> items;
-    for (const auto& [id, item] : m_known)
+    for (const auto& [id, item] : m_servers)
     {
-        if (item.said.is_present())
+        if (item.report.is_present())
         {
-            items.push_back(item.said);
+            items.push_back(item.report);
         }
     }
     return items;
@@ -290,7 +294,7 @@
 
 bool registry::empty() const noexcept
 {
-    return m_known.empty();
+    return m_servers.empty();
 }
 
 } // namespace flaxtiller
--- a/src/registration/warmup_tracker.cpp
+++ b/src/registration/warmup_tracker.cpp
@@ -3,28 +3,28 @@
 namespace flaxtiller
 {
 
-void warmup_tracker::note(const backend_server_name& server, const cold_server& cold)
+void warmup_tracker::mark_cold(const backend_server_name& server, const cold_server& cold)
 {
     m_cold.insert_or_assign(server, cold);
     m_is_current = false;
 }
 
-void warmup_tracker::forget(const backend_server_name& server)
+void warmup_tracker::unmark(const backend_server_name& server)
 {
     m_is_current = m_cold.erase(server) == 0 && m_is_current;
 }
 
-void warmup_tracker::on_registration(const registration& said, time_point now)
+void warmup_tracker::on_registration(const registration& report, time_point now)
 {
-    if (said.is_present() && said.warmup_left > duration{})
+    if (report.is_present() && report.warmup_left > duration{})
     {
-        note(said.id, {said.service, now + said.warmup_left});
+        mark_cold(report.id, {report.service, now + report.warmup_left});
         return;
     }
-    forget(said.id);
+    unmark(report.id);
 }
 
-void warmup_tracker::on_zones_back(const std::set<std::string>& zones,
+void warmup_tracker::on_zones_restored(const std::set<std::string>& zones,
                                    const std::vector<registration>& registered,
                                    const std::map<service_name, service>& services, time_point now)
 {
@@ -39,19 +39,19 @@
         const auto known = m_cold.find(item.id);
         if (until > now && (known == m_cold.end() || known->second.until < until))
         {
-            note(item.id, {item.service, until});
+            mark_cold(item.id, {item.service, until});
         }
     }
 }
 
 const shared_value<cold_servers>& warmup_tracker::current(time_point now)
 {
-    const auto over = std::erase_if(m_cold,
+    const auto expired = std::erase_if(m_cold,
                                     [&](const auto& item)
                                     {
                                         return item.second.until <= now;
                                     });
-    if (!m_is_current || over > 0)
+    if (!m_is_current || expired > 0)
     {
         m_current = m_cold;
         m_is_current = true;
--- a/src/shell/link_message.hpp
+++ b/src/shell/link_message.hpp
@@ -105,7 +105,7 @@
 /// @brief Backend servers whose own heartbeat the sender received lately.
 struct registration_heard
 {
-    std::vector<sign_of_life> items;
+    std::vector<heartbeat_receipt> items;
 };
 
 /// @brief The hash of the backend servers that the sender knows; where the receiver's differs for a while, it
--- a/src/shell/registration_hub.cpp
+++ b/src/shell/registration_hub.cpp
@@ -35,7 +35,7 @@
     log(log_level::info, "registrations_restored", {{"items", count}});
     m_tell_at = now + tell_unconfirmed_every;
     note_changes(true, now);
-    m_spread.hurry(now);
+    m_spread.expedite_changes(now);
     send_due(now);
 }
 
@@ -43,7 +43,7 @@
 void registration_hub::take_settled(const registration_update& update, time_point now)
 {
     m_before.clear();
-    if (m_registry.drop_unconfirmed(update.items))
+    if (m_registry.mark_unconfirmed_lost(update.items))
     {
         note_changes(true, now);
     }
@@ -83,9 +83,9 @@
     }
 }
 
-void registration_hub::on_heard(const registration_heard& heard, time_point now)
+void registration_hub::on_heartbeat_receipts(const registration_heard& heard, time_point now)
 {
-    m_registry.on_heard(heard.items, now);
+    m_registry.on_heartbeat_receipts(heard.items, now);
 }
 
 bool registration_hub::is_settled(time_point now) const
@@ -105,7 +105,7 @@
 {
     if (!m_registry.empty())
     {
-        m_spread.send_whole(peer);
+        m_spread.request_full_list(peer);
         send_due(now);
     }
 }
@@ -150,7 +150,7 @@
     {
         return;
     }
-    for (registration_spread::outgoing& message : m_spread.take(m_links.reachable(), m_registry.size(), now))
+    for (registration_publisher::outgoing& message : m_spread.take(m_links.reachable(), m_registry.size(), now))
     {
         const bool settled = message.whole && is_settled(now);
         registration_update update{settled, std::move(message.changes), settled};
@@ -173,7 +173,7 @@
     {
         restore(now);
     }
-    if (m_registry.drop_unconfirmed(m_silence * unconfirmed_share, now))
+    if (m_registry.mark_unconfirmed_lost(m_silence * unconfirmed_share, now))
     {
         note_changes(true, now);
     }
@@ -187,7 +187,7 @@
         log(log_level::info, "registrations", {{"items", unsaid}, {"known", m_registry.size()}});
     }
     m_tell_at = now + (m_registry.has_unconfirmed() ? tell_unconfirmed_every : tell_every);
-    const registration_heard heard{m_registry.take_heard()};
+    const registration_heard heard{m_registry.take_heartbeat_receipts()};
     const registration_digest known{m_registry.digest()};
     const std::vector<std::string> others(m_spread.replicas().begin(), m_spread.replicas().end());
     m_links.send(others, known);
--- a/src/shell/registration_hub.hpp
+++ b/src/shell/registration_hub.hpp
@@ -4,7 +4,7 @@
 #include "registration_file.hpp"
 
 #include <flaxtiller/core/token_bucket.hpp>
-#include <flaxtiller/registration/registration_spread.hpp>
+#include <flaxtiller/registration/registration_publisher.hpp>
 #include <flaxtiller/registration/registry.hpp>
 
 #include <set>
@@ -35,7 +35,7 @@
 
     /// @brief Another process's word.
     void on_update(const std::string& from, const registration_update& update, time_point now);
-    void on_heard(const registration_heard& heard, time_point now);
+    void on_heartbeat_receipts(const registration_heard& heard, time_point now);
 
     /// @brief What another process knows; one that differs for a while is sent all.
     void on_digest(const std::string& from, const registration_digest& said, time_point now);
@@ -75,7 +75,7 @@
     duration m_silence;
     time_point m_started_at;
     registry m_registry;
-    registration_spread m_spread;
+    registration_publisher m_spread;
     time_point m_tell_at{};
     /// Pays for the lines on single registrations; many at once share one.
     token_bucket m_lines;
--- a/tests/src/unit-live-placement.cpp
+++ b/tests/src/unit-live-placement.cpp
@@ -8,7 +8,7 @@
 {
 
 /// A configuration of so many services, each served by the backend servers that register for it.
-configuration services(int count)
+configuration configuration_of(int count)
 {
     configuration value;
     for (int i = 0; i < count; ++i)
@@ -52,7 +52,7 @@
 
 TEST_CASE("registered backend servers are placed as they come and go", "[registration]")
 {
-    const configuration value = services(3);
+    const configuration value = configuration_of(3);
     live_placement live;
     live.configure(7, value, {registered("b", 0, registration_state::ready)});
     const auto first = live.current();
@@ -69,11 +69,11 @@
         live.apply({registered("a", 1, registration_state::ready),
                     registered("c", 1, registration_state::draining),
                     registered("b", 0, registration_state::gone)});
-        live_placement anew;
-        anew.configure(7, value,
+        live_placement recomputed;
+        recomputed.configure(7, value,
                        {registered("a", 1, registration_state::ready),
                         registered("c", 1, registration_state::draining)});
-        CHECK(*live.current() == *anew.current());
+        CHECK(*live.current() == *recomputed.current());
         CHECK(live.current()->services.at(service_name("s1"))->shards[0][1].leaving);
     }
     SECTION("one that registers for another service leaves the first")
@@ -90,10 +90,10 @@
     SECTION("a declared one is there again once a registered one of its name is gone")
     {
         configuration declared = value;
-        backend_server own;
-        own.name = backend_server_name("b");
-        own.labels = {{"service", "s1"}, {"shard", "0"}};
-        declared.backend_servers.emplace(own.name, own);
+        backend_server declared_server;
+        declared_server.name = backend_server_name("b");
+        declared_server.labels = {{"service", "s1"}, {"shard", "0"}};
+        declared.backend_servers.emplace(declared_server.name, declared_server);
         live.configure(8, declared, {registered("b", 0, registration_state::ready)});
         CHECK(names_in(*live.current(), "s1").empty());
         live.apply({registered("b", 0, registration_state::gone)});
@@ -106,7 +106,7 @@
 {
     for (const int count : {30, 300, 3300})
     {
-        const configuration value = services(count);
+        const configuration value = configuration_of(count);
         live_placement live;
         live.configure(1, value, {});
         const auto before = live.current();
--- a/tests/src/unit-registration.cpp
+++ b/tests/src/unit-registration.cpp
@@ -7,19 +7,19 @@
 namespace
 {
 
-registration said_by(const std::string& id, std::int64_t sequence,
+registration report_of(const std::string& id, std::int64_t sequence,
                      registration_state state = registration_state::ready)
 {
-    registration said;
-    said.id = backend_server_name(id);
-    said.service = service_name("s");
-    said.address = "10.0.0.1:80";
-    said.state = state;
-    said.sequence = sequence;
-    return said;
+    registration report;
+    report.id = backend_server_name(id);
+    report.service = service_name("s");
+    report.address = "10.0.0.1:80";
+    report.state = state;
+    report.sequence = sequence;
+    return report;
 }
 
-constexpr duration silence = duration::from_ms(8000);
+constexpr duration lost_after = duration::from_ms(8000);
 
 } // namespace
 
@@ -27,88 +27,90 @@
 {
     registry known;
     time_point now(duration::from_ms(1000));
-    REQUIRE(known.on_heartbeat(said_by("a", 1), now));
+    REQUIRE(known.on_heartbeat(report_of("a", 1), now));
     REQUIRE(known.take_changes().size() == 1);
 
     SECTION("only what changes is told on")
     {
-        CHECK_FALSE(known.on_heartbeat(said_by("a", 2), now));
+        CHECK_FALSE(known.on_heartbeat(report_of("a", 2), now));
         CHECK(known.take_changes().empty());
-        CHECK(known.on_heartbeat(said_by("a", 3, registration_state::draining), now));
+        CHECK(known.on_heartbeat(report_of("a", 3, registration_state::draining), now));
         CHECK(known.take_changes().size() == 1);
     }
     SECTION("a late heartbeat doesn't undo a newer word")
     {
-        known.on_heartbeat(said_by("a", 5, registration_state::draining), now);
-        CHECK_FALSE(known.on_heartbeat(said_by("a", 4), now));
-        CHECK_FALSE(known.merge(said_by("a", 2), now));
+        known.on_heartbeat(report_of("a", 5, registration_state::draining), now);
+        CHECK_FALSE(known.on_heartbeat(report_of("a", 4), now));
+        CHECK_FALSE(known.merge(report_of("a", 2), now));
         CHECK(known.present().at(0).state == registration_state::draining);
     }
     SECTION("what an earlier life knew counts until it should have been heard again")
     {
-        const duration age = duration::from_ms(3000);
+        const duration confirmation_timeout = duration::from_ms(3000);
         registry restarted;
-        CHECK(restarted.restore({said_by("a", 5), said_by("b", 5), said_by("c", 5, registration_state::lost)},
-                                now) == 2);
+        CHECK(restarted.restore(
+                  {report_of("a", 5), report_of("b", 5), report_of("c", 5, registration_state::lost)}, now) ==
+              2);
         CHECK(restarted.present().size() == 2);
         CHECK(restarted.has_unconfirmed());
         SECTION("its next heartbeat confirms it, and the other one is lost")
         {
-            restarted.on_heartbeat(said_by("a", 6), now);
-            now = now + age + duration::from_ms(1);
-            CHECK(restarted.drop_unconfirmed(age, now));
+            restarted.on_heartbeat(report_of("a", 6), now);
+            now = now + confirmation_timeout + duration::from_ms(1);
+            CHECK(restarted.mark_unconfirmed_lost(confirmation_timeout, now));
             REQUIRE(restarted.present().size() == 1);
             CHECK(restarted.present()[0].id == backend_server_name("a"));
             CHECK_FALSE(restarted.has_unconfirmed());
-            CHECK(restarted.on_heartbeat(said_by("b", 7), now));
+            CHECK(restarted.on_heartbeat(report_of("b", 7), now));
         }
         SECTION("so does another process that heard it")
         {
-            restarted.on_heard({{backend_server_name("a"), 6}, {backend_server_name("b"), 5}}, now);
-            now = now + age + duration::from_ms(1);
-            CHECK(restarted.drop_unconfirmed(age, now));
+            restarted.on_heartbeat_receipts({{backend_server_name("a"), 6}, {backend_server_name("b"), 5}},
+                                            now);
+            now = now + confirmation_timeout + duration::from_ms(1);
+            CHECK(restarted.mark_unconfirmed_lost(confirmation_timeout, now));
             CHECK(restarted.present().size() == 1);
         }
         SECTION("a process that didn't restart knows which still live")
         {
-            CHECK(restarted.drop_unconfirmed(std::vector{said_by("a", 5)}));
+            CHECK(restarted.mark_unconfirmed_lost(std::vector{report_of("a", 5)}));
             CHECK(restarted.present().size() == 1);
             CHECK(restarted.has_unconfirmed());
         }
         SECTION("one that left meanwhile isn't brought back")
         {
-            registry knows;
-            knows.on_leave(backend_server_name("a"), 0, now);
-            CHECK(knows.restore({said_by("a", 5)}, now) == 0);
-            CHECK(knows.present().empty());
+            registry current;
+            current.on_leave(backend_server_name("a"), 0, now);
+            CHECK(current.restore({report_of("a", 5)}, now) == 0);
+            CHECK(current.present().empty());
         }
     }
     SECTION("gone is final, also before the first heartbeat arrived")
     {
         CHECK(known.on_leave(backend_server_name("a"), 0, now));
-        CHECK_FALSE(known.on_heartbeat(said_by("a", 9), now));
+        CHECK_FALSE(known.on_heartbeat(report_of("a", 9), now));
         known.on_leave(backend_server_name("b"), 0, now);
-        CHECK_FALSE(known.on_heartbeat(said_by("b", 1), now));
+        CHECK_FALSE(known.on_heartbeat(report_of("b", 1), now));
         CHECK(known.present().empty());
     }
     SECTION("silent ones are lost, heard ones aren't, and a heartbeat brings them back")
     {
-        known.on_heartbeat(said_by("b", 1), now);
-        now = now + silence;
-        known.on_heard({{backend_server_name("b"), 7}}, now);
+        known.on_heartbeat(report_of("b", 1), now);
+        now = now + lost_after;
+        known.on_heartbeat_receipts({{backend_server_name("b"), 7}}, now);
         now = now + duration::from_ms(1);
-        CHECK(known.expire(silence, now));
+        CHECK(known.expire(lost_after, now));
         REQUIRE(known.present().size() == 1);
         CHECK(known.present()[0].id.str() == "b");
-        CHECK(known.on_heartbeat(said_by("a", 9), now));
+        CHECK(known.on_heartbeat(report_of("a", 9), now));
         CHECK(known.present().size() == 2);
     }
     SECTION("two processes agree after they told one another, in any order")
     {
         registry other;
-        known.on_heartbeat(said_by("b", 1), now);
-        other.on_heartbeat(said_by("c", 1), now);
-        other.on_heartbeat(said_by("a", 4, registration_state::draining), now);
+        known.on_heartbeat(report_of("b", 1), now);
+        other.on_heartbeat(report_of("c", 1), now);
+        other.on_heartbeat(report_of("a", 4, registration_state::draining), now);
         CHECK(known.digest() != other.digest());
         for (const registration& item : known.all(now))
         {
@@ -123,10 +125,10 @@
     }
     SECTION("what a settled process doesn't have is lost here, unless it is fresh")
     {
-        known.on_heartbeat(said_by("b", 1), now);
+        known.on_heartbeat(report_of("b", 1), now);
         now = now + duration::from_ms(3000);
-        known.on_heartbeat(said_by("c", 1), now);
-        CHECK(known.keep_only({said_by("b", 1)}, now));
+        known.on_heartbeat(report_of("c", 1), now);
+        CHECK(known.mark_unlisted_lost({report_of("b", 1)}, now));
         REQUIRE(known.present().size() == 2);
         CHECK(known.present()[0].id.str() == "b");
         CHECK(known.present()[1].id.str() == "c");
@@ -137,36 +139,36 @@
 {
     registry known;
     time_point now(duration::from_ms(1000));
-    const auto said = [](std::int64_t born_ms, std::int64_t sequence, registration_state state)
+    const auto report_a = [](std::int64_t born_ms, std::int64_t sequence, registration_state state)
     {
-        registration item = said_by("a", sequence, state);
+        registration item = report_of("a", sequence, state);
         item.born_ms = born_ms;
         return item;
     };
-    known.on_heartbeat(said(100, 50, registration_state::draining), now);
+    known.on_heartbeat(report_a(100, 50, registration_state::draining), now);
 
     SECTION("its counts start anew, and nothing of the earlier life holds")
     {
-        CHECK(known.on_heartbeat(said(200, 1, registration_state::ready), now));
+        CHECK(known.on_heartbeat(report_a(200, 1, registration_state::ready), now));
         CHECK(known.present().at(0).state == registration_state::ready);
-        CHECK_FALSE(known.on_heartbeat(said(100, 51, registration_state::draining), now));
+        CHECK_FALSE(known.on_heartbeat(report_a(100, 51, registration_state::draining), now));
         CHECK(known.present().at(0).born_ms == 200);
-        CHECK(known.on_heartbeat(said(200, 2, registration_state::draining), now));
+        CHECK(known.on_heartbeat(report_a(200, 2, registration_state::draining), now));
     }
     SECTION("also after it deregistered, or was called lost")
     {
         known.on_leave(backend_server_name("a"), 0, now);
-        CHECK_FALSE(known.on_heartbeat(said(100, 60, registration_state::ready), now));
-        CHECK(known.on_heartbeat(said(200, 1, registration_state::ready), now));
+        CHECK_FALSE(known.on_heartbeat(report_a(100, 60, registration_state::ready), now));
+        CHECK(known.on_heartbeat(report_a(200, 1, registration_state::ready), now));
         CHECK(known.present().size() == 1);
-        now = now + silence * 2.0;
-        CHECK(known.expire(silence, now));
-        CHECK(known.on_heartbeat(said(300, 1, registration_state::ready), now));
+        now = now + lost_after * 2.0;
+        CHECK(known.expire(lost_after, now));
+        CHECK(known.on_heartbeat(report_a(300, 1, registration_state::ready), now));
         CHECK(known.present().size() == 1);
     }
     SECTION("an earlier life's last word doesn't end it")
     {
-        known.on_heartbeat(said(200, 1, registration_state::ready), now);
+        known.on_heartbeat(report_a(200, 1, registration_state::ready), now);
         CHECK_FALSE(known.on_leave(backend_server_name("a"), 100, now));
         CHECK(known.present().size() == 1);
         CHECK(known.on_leave(backend_server_name("a"), 200, now));
@@ -174,14 +176,14 @@
     }
     SECTION("that its earlier life was heard doesn't hide its own words")
     {
-        known.on_heartbeat(said(200, 1, registration_state::ready), now);
-        known.on_heard({{backend_server_name("a"), 70, 100}}, now);
-        CHECK(known.on_heartbeat(said(200, 2, registration_state::draining), now));
+        known.on_heartbeat(report_a(200, 1, registration_state::ready), now);
+        known.on_heartbeat_receipts({{backend_server_name("a"), 70, 100}}, now);
+        CHECK(known.on_heartbeat(report_a(200, 2, registration_state::draining), now));
     }
     SECTION("processes that know different lives differ")
     {
         registry other;
-        other.on_heartbeat(said(200, 1, registration_state::draining), now);
+        other.on_heartbeat(report_a(200, 1, registration_state::draining), now);
         CHECK(other.digest() != known.digest());
     }
 }
@@ -191,30 +193,30 @@
     registry known;
     time_point now(duration::from_ms(1000));
     std::int64_t sequence = 0;
-    const auto say = [&](double warmup_ms)
+    const auto send_warmup = [&](double warmup_ms)
     {
-        registration said = said_by("a", ++sequence);
-        said.warmup_left = duration::from_ms(warmup_ms);
-        return known.on_heartbeat(said, now);
+        registration report = report_of("a", ++sequence);
+        report.warmup_left = duration::from_ms(warmup_ms);
+        return known.on_heartbeat(report, now);
     };
-    REQUIRE(say(3000.0));
+    REQUIRE(send_warmup(3000.0));
 
     SECTION("is told once, while it ends when it was said to")
     {
         now = now + duration::from_ms(1200);
-        CHECK_FALSE(say(1850.0));
+        CHECK_FALSE(send_warmup(1850.0));
         CHECK(known.all(now).at(0).warmup_left == duration::from_ms(1800));
         now = now + duration::from_ms(1900);
-        CHECK_FALSE(say(0.0));
+        CHECK_FALSE(send_warmup(0.0));
         CHECK(known.all(now).at(0).warmup_left == duration{});
     }
     SECTION("is told anew when it begins again, or ends sooner")
     {
         now = now + duration::from_ms(1000);
-        CHECK(say(0.0));
-        CHECK_FALSE(say(0.0));
+        CHECK(send_warmup(0.0));
+        CHECK_FALSE(send_warmup(0.0));
         now = now + duration::from_ms(9000);
-        CHECK(say(2500.0));
-        CHECK(say(6000.0));
+        CHECK(send_warmup(2500.0));
+        CHECK(send_warmup(6000.0));
     }
 }
