--- a/include/flaxtiller/registration/live_placement.hpp
+++ b/include/flaxtiller/registration/live_placement.hpp
@@ -12,23 +12,24 @@
 namespace flaxtiller
 {
 
-/// @brief The placement of the configuration in force with the backend servers that registered beside those
-/// that it declares. Deterministic.
+/// @brief The placement of the configuration in force, extended by the backend servers that registered
+/// themselves. Deterministic.
 ///
-/// A registration costs what it changes; another configuration costs all, but services that come out the same
-/// stay shared with the placement before, so that nobody has to look at them again.
+/// The cost of @ref apply is proportional to the number of changes. @ref configure computes the whole
+/// placement again, but keeps sharing each unchanged service with the previous placement, so that its users
+/// can skip it.
 class live_placement
 {
   public:
-    /// @brief Another configuration.
-    /// @param registered all backend servers that are registered now; each change since was applied
+    /// @brief Sets the configuration in force.
+    /// @param registered all backend servers that are registered now, with all changes applied
     void configure(std::int64_t revision, const configuration& value,
                    const std::vector<registration>& registered);
 
-    /// @brief Registrations that changed, in their order.
+    /// @brief Applies changed registrations in the given order.
     void apply(const std::vector<registration>& changes);
 
-    /// @return the placement now; the same object while nothing changed
+    /// @return the current placement; the same object as before if nothing has changed
     std::shared_ptr<const placement> current();
 
   private:
@@ -38,7 +39,8 @@
     shared_map<service_name, service> m_services;
     shared_map<std::string, placement_rule> m_rules;
     std::set<std::string> m_evacuated_zones;
-    /// A registered backend server stands before a declared one of the same name.
+    /// The backend servers that the configuration declares. A registered one takes precedence over a declared
+    /// one of the same name.
     shared_map<backend_server_name, backend_server> m_declared;
     std::shared_ptr<const placement> m_current = std::make_shared<const placement>();
     bool m_is_current = true;
--- a/include/flaxtiller/registration/registration.hpp
+++ b/include/flaxtiller/registration/registration.hpp
@@ -12,52 +12,55 @@
 namespace flaxtiller
 {
 
-/// @brief Whether a registered backend server may get work.
+/// @brief Whether a registered backend server may receive work.
 enum class registration_state
 {
     ready,
-    /// It said that it is leaving: it gets no new work.
+    /// The backend server announced that it is leaving and receives no new work.
     draining,
-    /// It deregistered; nothing brings this id back.
+    /// The backend server deregistered. Only a later run under the same id can register again.
     gone,
-    /// It wasn't heard for too long; its next heartbeat brings it back.
+    /// No heartbeat arrived in time. The next heartbeat makes the backend server available again.
     lost,
 };
 
-/// @brief What a backend server says of itself in a heartbeat.
+/// @brief The state of a backend server that registers itself, as its heartbeats report it.
+///
+/// A backend server sends a heartbeat about once per second to a control process. A run of a backend server
+/// lasts from the start of its process to the end of it.
 struct registration
 {
     backend_server_name id;
     service_name service;
-    /// IP number and port.
+    /// IP address and port.
     std::string address;
     std::string availability_zone;
     /// The version of its software.
     std::string software;
     int slots = 1;
     registration_state state = registration_state::ready;
-    /// How much longer it is slow after its start, as of this heartbeat.
+    /// The remaining time of the slow phase that follows a start, as of this heartbeat.
     duration warmup_left{};
-    /// When this life of it began, in milliseconds of the Unix clock; 0 where each life has an id of its own.
+    /// The start time of this run in milliseconds of the Unix clock; 0 if each run has an id of its own.
     std::int64_t born_ms = 0;
-    /// Grows with each heartbeat of this life.
+    /// Increases with each heartbeat of a run.
     std::int64_t sequence = 0;
 
     bool operator==(const registration&) const = default;
 
-    /// @return whether it neither deregistered nor was lost
+    /// @return whether the backend server is neither deregistered nor lost
     bool is_present() const noexcept
     {
         return state == registration_state::ready || state == registration_state::draining;
     }
 
-    /// @return whether this is a later word than @a other, of the same life or a later one
+    /// @return whether this report is newer than @a other: from a later run, or later in the same run
     bool is_newer_than(const registration& other) const noexcept
     {
         return born_ms == other.born_ms ? sequence > other.sequence : born_ms > other.born_ms;
     }
 
-    /// @return whether only the sequence and the warm-up differ
+    /// @return whether all but the sequence and the warm-up is equal
     bool has_same_status(const registration& other) const
     {
         return born_ms == other.born_ms && service == other.service && address == other.address &&
@@ -74,9 +77,10 @@
 void to_json(nlohmann::json& j, const registration& value);
 void from_json(const nlohmann::json& j, registration& value);
 
-/// @return the backend server as placement rules see it: its labels are `service`, `availability_zone`,
-/// `software` and `shard`, which is 0
-/// @param declared the service that it registered for
+/// @brief Converts a registration to the form that placement rules match.
+/// @param declared the definition of the service that the backend server registered for
+/// @return a backend server with the labels `service`, `availability_zone`, `software` and `shard`, which is
+/// always 0
 backend_server to_backend_server(const registration& value, const service& declared);
 
 } // namespace flaxtiller
--- a/include/flaxtiller/registration/registry.hpp
+++ b/include/flaxtiller/registration/registry.hpp
@@ -10,7 +10,9 @@
 namespace flaxtiller
 {
 
-/// @brief That a backend server's heartbeat was received.
+/// @brief A note from one process to another that it received a heartbeat of a backend server.
+///
+/// It stands in for the complete registration while that doesn't change.
 struct heartbeat_receipt
 {
     backend_server_name id;
@@ -23,80 +25,88 @@
 void to_json(nlohmann::json& j, const heartbeat_receipt& value);
 void from_json(const nlohmann::json& j, heartbeat_receipt& value);
 
-/// @brief The backend servers that register themselves, as one process knows them. Soft state: after a loss
-/// of everything it fills again from the heartbeats. Deterministic.
+/// @brief The backend servers that register themselves, as known to one process. Deterministic.
+///
+/// The registry is soft state: if all copies are lost, heartbeats fill it again.
 ///
-/// Only changes travel between processes (@ref take_changes, @ref merge); that an unchanged backend server
-/// still lives travels as a @ref sign_of_life (@ref take_heard, @ref on_heard). Of two words on one id that
-/// of the later life counts, and within a life the one with the greater sequence; `gone` ends a life.
+/// Processes exchange only changes (@ref take_changes, @ref merge). For an unchanged backend server they
+/// exchange heartbeat receipts (@ref take_heartbeat_receipts, @ref on_heartbeat_receipts). Of two reports
+/// with the same id, the report of the later run takes precedence, and within a run the report with the
+/// greater sequence. The state `gone` is final for a run.
 class registry
 {
   public:
-    /// A warm-up that ends this much sooner or later than was told is told on.
+    /// A warm-up whose end moves by more than this counts as a change.
     static constexpr duration warmup_tolerance = duration::from_ms(250);
 
-    /// How long an id that is gone is remembered, so that late heartbeats don't bring it back.
+    /// The time for which the registry remembers an id that is gone, so that a delayed heartbeat doesn't
+    /// restore it.
     static constexpr duration gone_retention = duration::from_ms(60000);
 
-    /// @brief A backend server's own heartbeat.
-    /// @return whether its standing changed
+    /// @brief Handles a heartbeat that a backend server sent to this process.
+    /// @return whether the registration changed
     bool on_heartbeat(const registration& report, time_point now);
 
-    /// @brief A backend server deregistered. An unknown id is remembered as gone, too.
-    /// @param born_ms which of its lives ends; 0 for the one that is known
+    /// @brief Handles the deregistration of a backend server. An unknown id is remembered as gone, too.
+    /// @param born_ms the start time of the run that ends; 0 for the known run
+    /// @return whether the registration changed
     bool on_leave(const backend_server_name& id, std::int64_t born_ms, time_point now);
 
-    /// @brief Another process's word on a backend server.
-    /// @return whether the standing changed here
+    /// @brief Merges a registration that another process sent.
+    /// @return whether the registration changed here
     bool merge(const registration& report, time_point now);
 
-    /// @brief Calls lost what @a all, a process's whole knowledge, doesn't have.
-    /// @return whether any standing changed
+    /// @brief Marks the backend servers lost that @a all, the full list of another process, doesn't contain.
+    /// Recently received ones stay, as the other process may not have received them yet.
+    /// @return whether any registration changed
     bool mark_unlisted_lost(const std::vector<registration>& all, time_point now);
 
-    /// @brief Takes in what an earlier life of this process knew. Only ids that are unknown are taken; one
-    /// that isn't heard again soon is to be called lost by @ref drop_unconfirmed.
-    /// @return how many were taken
+    /// @brief Adds the registrations that a previous run of this process stored, except for ids that are
+    /// known already. They stay unconfirmed until another report or receipt arrives; @ref
+    /// mark_unconfirmed_lost marks those lost that are never confirmed.
+    /// @return the number of added registrations
     std::size_t restore(const std::vector<registration>& restored, time_point now);
 
-    /// @brief Calls lost what was restored and not heard of for @a age since.
-    /// @return whether any standing changed
+    /// @brief Marks those restored backend servers lost that were not confirmed within @a age.
+    /// @return whether any registration changed
     bool mark_unconfirmed_lost(duration age, time_point now);
 
-    /// @brief Calls lost what was restored and isn't in @a all, the knowledge of a process that didn't
-    /// restart.
-    /// @return whether any standing changed
+    /// @brief Marks those unconfirmed backend servers lost that aren't in @a all, the full list of a process
+    /// that didn't restart.
+    /// @return whether any registration changed
     bool mark_unconfirmed_lost(const std::vector<registration>& all);
 
-    /// @return whether anything that was restored is still unheard
+    /// @return whether any restored registration is unconfirmed
     bool has_unconfirmed() const noexcept;
 
-    /// @brief Another process heard these backend servers lately.
+    /// @brief Handles receipts of heartbeats that another process received.
     void on_heartbeat_receipts(const std::vector<heartbeat_receipt>& receipts, time_point now);
 
-    /// @brief Calls lost what wasn't heard for @a silence, and forgets what is long gone.
-    /// @return whether any standing changed
+    /// @brief Marks backend servers lost that sent no heartbeat for @a silence, and removes those that are
+    /// gone or lost for longer than @ref gone_retention.
+    /// @return whether any registration changed
     bool expire(duration silence, time_point now);
 
-    /// @return what changed since the last call, to be told to other processes
+    /// @return the changes since the last call, for other processes
     std::vector<registration> take_changes();
 
-    /// @return whose own heartbeats were received since the last call
+    /// @return a receipt for each backend server that sent a heartbeat to this process since the last call
     std::vector<heartbeat_receipt> take_heartbeat_receipts();
 
-    /// @return all that is known, for a process that starts or fell behind, with the warm-ups as of now
+    /// @return all registrations, also those that are gone or lost, with the warm-ups as of now; for a
+    /// process that starts or fell behind
     std::vector<registration> all(time_point now) const;
 
-    /// @return a hash of all standings, equal on processes that agree
-    /// @complexity O(1): each instance tells it every second
+    /// @return a hash over all present backend servers, equal on processes that agree
+    /// @complexity O(1), since each instance sends the digest every second
     std::uint64_t digest() const noexcept;
 
-    /// @return backend servers that aren't gone or lost
+    /// @return the backend servers that are neither gone nor lost
     std::vector<registration> present() const;
 
     bool empty() const noexcept;
 
-    /// @return how many ids are known, also those that are gone
+    /// @return the number of known ids, including those that are gone or lost
     std::size_t size() const noexcept
     {
         return m_servers.size();
@@ -107,12 +117,12 @@
     {
         registration report;
         time_point last_heartbeat_at{};
-        /// When its warm-up is over, by its last word.
+        /// The end of the warm-up by the last report that changed it.
         time_point warmup_ends_at{};
         time_point gone_at{};
-        /// Whether its own heartbeat came since @ref take_heard.
+        /// Whether a heartbeat arrived here since the last call of @ref take_heartbeat_receipts.
         bool receipt_pending = false;
-        /// Whether it is only known from an earlier life of this process.
+        /// Whether the registration is known only from a previous run of this process.
         bool unconfirmed = false;
     };
 
--- a/include/flaxtiller/registration/warmup_tracker.hpp
+++ b/include/flaxtiller/registration/warmup_tracker.hpp
@@ -13,7 +13,7 @@
 namespace flaxtiller
 {
 
-/// @brief A backend server that bears little for now.
+/// @brief A backend server that has a reduced capacity until its warm-up ends.
 struct cold_server
 {
     service_name service;
@@ -25,24 +25,27 @@
 /// The cold backend servers, by name.
 using cold_servers = std::map<backend_server_name, cold_server>;
 
-/// @brief Knows which registered backend servers are cold, and for how long they could be. Deterministic.
+/// @brief Tracks which registered backend servers are cold, and the latest time at which they become warm.
+/// Deterministic.
 ///
-/// A word that comes late makes one count as cold for longer than it is, never for less.
+/// A delayed report extends the time for which a backend server counts as cold; it never shortens it.
 class warmup_tracker
 {
   public:
-    /// @brief A backend server's word, or that it went.
+    /// @brief Handles a new report of a backend server, or its loss or deregistration.
     void on_registration(const registration& report, time_point now);
 
-    /// @brief Backend servers of these availability zones may get work again. They may have turned cold a
-    /// moment ago, and their word on it may still be on its way: heartbeats come about every second, and
-    /// seconds late. So each counts as cold for as long as its service says, or until it says otherwise.
-    /// @param services those of the configuration in force
+    /// @brief Marks the backend servers of availability zones cold that may receive work again.
+    ///
+    /// A backend server may have become cold a moment ago while the report of it is still in transit:
+    /// heartbeats are sent about once per second and may arrive seconds later. Each backend server therefore
+    /// counts as cold for the warm-up time of its service, or until it reports otherwise.
+    /// @param services the services of the configuration in force
     /// @complexity O(registered)
     void on_zones_restored(const std::set<std::string>& zones, const std::vector<registration>& registered,
                        const std::map<service_name, service>& services, time_point now);
 
-    /// @return those that are cold now; the same object while nothing changed
+    /// @return the backend servers that are cold now; the same object as before if nothing has changed
     const shared_value<cold_servers>& current(time_point now);
 
   private:
--- a/src/registration/registration.cpp
+++ b/src/registration/registration.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Where a service doesn't limit connections.
+/// The connection limit of a backend server whose service sets none.
 constexpr int unlimited_connections = 1 << 16;
 
 } // namespace
@@ -37,7 +37,7 @@
     value.slots = j.at("slots").get<int>();
     value.state = j.at("state").get<registration_state>();
     value.warmup_left = duration::from_ms(j.at("warmup_ms").get<double>());
-    // Missing in a file that an earlier version wrote.
+    // Absent from files that earlier versions wrote.
     value.born_ms = j.value("born_ms", std::int64_t{0});
     value.sequence = j.at("sequence").get<std::int64_t>();
 }
--- a/src/registration/registry.cpp
+++ b/src/registration/registry.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// A word this fresh may just not have reached the other process yet.
+/// A more recent report may not have reached the other process yet.
 constexpr duration settle_time = duration::from_ms(2000);
 
 bool is_gone(const registration& item) noexcept
@@ -19,8 +19,8 @@
     return item.state == registration_state::gone;
 }
 
-/// A sum of these is a registry's digest, so that the order of arrival doesn't matter and forgotten ids don't
-/// show.
+/// The digest of a registry is the sum of these hashes. It doesn't depend on the order of arrival, and ids
+/// that are gone or lost contribute nothing, whether they were removed already or not.
 std::uint64_t digest_of(const registration& item)
 {
     if (item.id.empty() || !item.is_present())
@@ -45,7 +45,7 @@
 
 void to_json(nlohmann::json& j, const heartbeat_receipt& value)
 {
-    // A list, not an object: each replica tells the others hundreds of them every few seconds.
+    // An array is shorter than an object: each replica sends hundreds of receipts every few seconds.
     j = nlohmann::json::array({value.id, value.sequence, value.born_ms});
 }
 
@@ -62,7 +62,7 @@
     const bool same_run = report.born_ms == item.report.born_ms;
     if (!first_report && !(report.is_newer_than(item.report) && !(same_run && is_gone(item.report))))
     {
-        // Its last word needs no number of its own, but must be of the life that is known.
+        // A deregistration needs no greater sequence, but must belong to the known run.
         const bool deregisters = same_run && is_gone(report) && !is_gone(item.report);
         if (!deregisters)
         {
@@ -122,7 +122,7 @@
     for (const heartbeat_receipt& receipt : receipts)
     {
         const auto found = m_servers.find(receipt.id);
-        // A number of another life tells nothing of this one.
+        // The sequence of another run can't be compared with that of the known run.
         if (found != m_servers.end() && receipt.born_ms == found->second.report.born_ms &&
             receipt.sequence > found->second.report.sequence &&
             found->second.report.state != registration_state::lost)
@@ -206,7 +206,7 @@
     confirm(item);
     m_digest -= digest_of(item.report);
     item.report.state = registration_state::lost;
-    // Ahead of the last heartbeat, so that this word wins where that one is known.
+    // The greater sequence gives `lost` precedence on processes that know the last heartbeat.
     ++item.report.sequence;
     m_changes.push_back(item.report);
 }
--- a/tests/src/unit-live-placement.cpp
+++ b/tests/src/unit-live-placement.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// A configuration of so many services, each served by the backend servers that register for it.
+/// @return a configuration of @a count services, each served by the backend servers that register for it
 configuration configuration_of(int count)
 {
     configuration value;
@@ -50,21 +50,21 @@
 
 } // namespace
 
-TEST_CASE("registered backend servers are placed as they come and go", "[registration]")
+TEST_CASE("the placement follows backend servers that register and deregister", "[registration]")
 {
     const configuration value = configuration_of(3);
     live_placement live;
     live.configure(7, value, {registered("b", 0, registration_state::ready)});
     const auto first = live.current();
 
-    SECTION("by the rules, sorted by name")
+    SECTION("backend servers are placed by the rules, sorted by name")
     {
         live.apply({registered("a", 0, registration_state::ready)});
         CHECK(names_in(*first, "s0") == std::vector<std::string>{"b"});
         CHECK(names_in(*live.current(), "s0") == std::vector<std::string>{"a", "b"});
         CHECK(live.current()->revision == 7);
     }
-    SECTION("the same as if all were placed anew")
+    SECTION("incremental changes give the same placement as a new computation")
     {
         live.apply({registered("a", 1, registration_state::ready),
                     registered("c", 1, registration_state::draining),
@@ -76,18 +76,18 @@
         CHECK(*live.current() == *recomputed.current());
         CHECK(live.current()->services.at(service_name("s1"))->shards[0][1].leaving);
     }
-    SECTION("one that registers for another service leaves the first")
+    SECTION("a backend server that registers for another service leaves the first one")
     {
         live.apply({registered("b", 2, registration_state::ready)});
         CHECK(names_in(*live.current(), "s0").empty());
         CHECK(names_in(*live.current(), "s2") == std::vector<std::string>{"b"});
     }
-    SECTION("one that registers for a service that isn't declared serves nothing")
+    SECTION("a backend server that registers for an undeclared service serves none")
     {
         live.apply({registered("b", 9, registration_state::ready)});
         CHECK(names_in(*live.current(), "s0").empty());
     }
-    SECTION("a declared one is there again once a registered one of its name is gone")
+    SECTION("a declared backend server is placed again when a registered one of its name is gone")
     {
         configuration declared = value;
         backend_server declared_server;
@@ -102,7 +102,7 @@
     }
 }
 
-TEST_CASE("a registration costs what it changes", "[registration]")
+TEST_CASE("a registration changes the placement of its own service only", "[registration]")
 {
     for (const int count : {30, 300, 3300})
     {
--- a/tests/src/unit-registration.cpp
+++ b/tests/src/unit-registration.cpp
@@ -23,28 +23,28 @@
 
 } // namespace
 
-TEST_CASE("backend servers that register themselves", "[registration]")
+TEST_CASE("a registry tracks backend servers that register themselves", "[registration]")
 {
     registry known;
     time_point now(duration::from_ms(1000));
     REQUIRE(known.on_heartbeat(report_of("a", 1), now));
     REQUIRE(known.take_changes().size() == 1);
 
-    SECTION("only what changes is told on")
+    SECTION("only changes are passed on to other processes")
     {
         CHECK_FALSE(known.on_heartbeat(report_of("a", 2), now));
         CHECK(known.take_changes().empty());
         CHECK(known.on_heartbeat(report_of("a", 3, registration_state::draining), now));
         CHECK(known.take_changes().size() == 1);
     }
-    SECTION("a late heartbeat doesn't undo a newer word")
+    SECTION("a delayed heartbeat doesn't replace a newer report")
     {
         known.on_heartbeat(report_of("a", 5, registration_state::draining), now);
         CHECK_FALSE(known.on_heartbeat(report_of("a", 4), now));
         CHECK_FALSE(known.merge(report_of("a", 2), now));
         CHECK(known.present().at(0).state == registration_state::draining);
     }
-    SECTION("what an earlier life knew counts until it should have been heard again")
+    SECTION("registrations of a previous run count until their heartbeats are overdue")
     {
         const duration confirmation_timeout = duration::from_ms(3000);
         registry restarted;
@@ -53,7 +53,7 @@
               2);
         CHECK(restarted.present().size() == 2);
         CHECK(restarted.has_unconfirmed());
-        SECTION("its next heartbeat confirms it, and the other one is lost")
+        SECTION("a heartbeat confirms one backend server, and the unconfirmed one is lost")
         {
             restarted.on_heartbeat(report_of("a", 6), now);
             now = now + confirmation_timeout + duration::from_ms(1);
@@ -63,7 +63,7 @@
             CHECK_FALSE(restarted.has_unconfirmed());
             CHECK(restarted.on_heartbeat(report_of("b", 7), now));
         }
-        SECTION("so does another process that heard it")
+        SECTION("a heartbeat receipt of another process confirms a backend server")
         {
             restarted.on_heartbeat_receipts({{backend_server_name("a"), 6}, {backend_server_name("b"), 5}},
                                             now);
@@ -71,13 +71,13 @@
             CHECK(restarted.mark_unconfirmed_lost(confirmation_timeout, now));
             CHECK(restarted.present().size() == 1);
         }
-        SECTION("a process that didn't restart knows which still live")
+        SECTION("backend servers missing from the list of a process that didn't restart are lost")
         {
             CHECK(restarted.mark_unconfirmed_lost(std::vector{report_of("a", 5)}));
             CHECK(restarted.present().size() == 1);
             CHECK(restarted.has_unconfirmed());
         }
-        SECTION("one that left meanwhile isn't brought back")
+        SECTION("a backend server that deregistered during the restart isn't restored")
         {
             registry current;
             current.on_leave(backend_server_name("a"), 0, now);
@@ -85,7 +85,7 @@
             CHECK(current.present().empty());
         }
     }
-    SECTION("gone is final, also before the first heartbeat arrived")
+    SECTION("a deregistration is final, also if it arrives before the first heartbeat")
     {
         CHECK(known.on_leave(backend_server_name("a"), 0, now));
         CHECK_FALSE(known.on_heartbeat(report_of("a", 9), now));
@@ -93,7 +93,7 @@
         CHECK_FALSE(known.on_heartbeat(report_of("b", 1), now));
         CHECK(known.present().empty());
     }
-    SECTION("silent ones are lost, heard ones aren't, and a heartbeat brings them back")
+    SECTION("a backend server without heartbeats is lost, and its next heartbeat restores it")
     {
         known.on_heartbeat(report_of("b", 1), now);
         now = now + lost_after;
@@ -105,7 +105,7 @@
         CHECK(known.on_heartbeat(report_of("a", 9), now));
         CHECK(known.present().size() == 2);
     }
-    SECTION("two processes agree after they told one another, in any order")
+    SECTION("two processes agree after they exchanged their lists")
     {
         registry other;
         known.on_heartbeat(report_of("b", 1), now);
@@ -123,7 +123,7 @@
         CHECK(known.digest() == other.digest());
         CHECK(known.present().size() == 3);
     }
-    SECTION("what a settled process doesn't have is lost here, unless it is fresh")
+    SECTION("backend servers missing from the full list of another process are lost, unless recent")
     {
         known.on_heartbeat(report_of("b", 1), now);
         now = now + duration::from_ms(3000);
@@ -135,7 +135,7 @@
     }
 }
 
-TEST_CASE("a backend server that starts again under its name", "[registration]")
+TEST_CASE("a backend server that restarts under its name begins a new run", "[registration]")
 {
     registry known;
     time_point now(duration::from_ms(1000));
@@ -147,7 +147,7 @@
     };
     known.on_heartbeat(report_a(100, 50, registration_state::draining), now);
 
-    SECTION("its counts start anew, and nothing of the earlier life holds")
+    SECTION("its sequence starts over, and the state of the previous run no longer holds")
     {
         CHECK(known.on_heartbeat(report_a(200, 1, registration_state::ready), now));
         CHECK(known.present().at(0).state == registration_state::ready);
@@ -155,7 +155,7 @@
         CHECK(known.present().at(0).born_ms == 200);
         CHECK(known.on_heartbeat(report_a(200, 2, registration_state::draining), now));
     }
-    SECTION("also after it deregistered, or was called lost")
+    SECTION("a new run registers after the previous one deregistered or was lost")
     {
         known.on_leave(backend_server_name("a"), 0, now);
         CHECK_FALSE(known.on_heartbeat(report_a(100, 60, registration_state::ready), now));
@@ -166,7 +166,7 @@
         CHECK(known.on_heartbeat(report_a(300, 1, registration_state::ready), now));
         CHECK(known.present().size() == 1);
     }
-    SECTION("an earlier life's last word doesn't end it")
+    SECTION("a deregistration of the previous run doesn't end the new run")
     {
         known.on_heartbeat(report_a(200, 1, registration_state::ready), now);
         CHECK_FALSE(known.on_leave(backend_server_name("a"), 100, now));
@@ -174,13 +174,13 @@
         CHECK(known.on_leave(backend_server_name("a"), 200, now));
         CHECK(known.present().empty());
     }
-    SECTION("that its earlier life was heard doesn't hide its own words")
+    SECTION("a heartbeat receipt of the previous run doesn't suppress reports of the new run")
     {
         known.on_heartbeat(report_a(200, 1, registration_state::ready), now);
         known.on_heartbeat_receipts({{backend_server_name("a"), 70, 100}}, now);
         CHECK(known.on_heartbeat(report_a(200, 2, registration_state::draining), now));
     }
-    SECTION("processes that know different lives differ")
+    SECTION("processes that know different runs have different digests")
     {
         registry other;
         other.on_heartbeat(report_a(200, 1, registration_state::draining), now);
@@ -188,7 +188,7 @@
     }
 }
 
-TEST_CASE("a backend server's warm-up", "[registration]")
+TEST_CASE("a change of a backend server's warm-up is passed on to other processes", "[registration]")
 {
     registry known;
     time_point now(duration::from_ms(1000));
@@ -201,7 +201,7 @@
     };
     REQUIRE(send_warmup(3000.0));
 
-    SECTION("is told once, while it ends when it was said to")
+    SECTION("a warm-up is passed on once while its end stays the same")
     {
         now = now + duration::from_ms(1200);
         CHECK_FALSE(send_warmup(1850.0));
@@ -210,7 +210,7 @@
         CHECK_FALSE(send_warmup(0.0));
         CHECK(known.all(now).at(0).warmup_left == duration{});
     }
-    SECTION("is told anew when it begins again, or ends sooner")
+    SECTION("a warm-up is passed on again when it restarts or ends earlier")
     {
         now = now + duration::from_ms(1000);
         CHECK(send_warmup(0.0));
