--- a/tests/src/unit-registration-publisher.cpp
+++ b/tests/src/unit-registration-publisher.cpp
@@ -24,12 +24,12 @@
 
 registration report_of(int number, std::int64_t sequence = 1)
 {
-    registration report;
-    report.id = backend_server_name("i-" + std::to_string(number));
-    report.service = service_name("s-" + std::to_string(number % 100));
-    report.address = "10.0.0.1:80";
-    report.sequence = sequence;
-    return report;
+    registration heartbeat;
+    heartbeat.id = backend_server_name("i-" + std::to_string(number));
+    heartbeat.service = service_name("s-" + std::to_string(number % 100));
+    heartbeat.address = "10.0.0.1:80";
+    heartbeat.sequence = sequence;
+    return heartbeat;
 }
 
 /// Simulates one control replica and the entries (instances) that follow it. Messages arrive after a
