--- a/bench/limit_play.hpp
+++ b/bench/limit_play.hpp
@@ -2,7 +2,7 @@
 
 #include <flaxtiller/core/token_bucket.hpp>
 #include <flaxtiller/distribution/report_pace.hpp>
-#include <flaxtiller/teams/rate_ledger.hpp>
+#include <flaxtiller/teams/rate_limit_coordinator.hpp>
 #include <flaxtiller/teams/rate_limiter.hpp>
 
 #include <algorithm>
@@ -143,7 +143,7 @@
     void set_limit(const rate_limit& limit) override
     {
         const auto all = static_cast<double>(m_buckets.size());
-        const double beyond = tolerance.most_of(limit) - tolerance.allowed_of(limit);
+        const double beyond = tolerance.max_requests_per_window(limit) - tolerance.limit_per_window(limit);
         const double holders = m_whole ? std::max(1.0, std::min(all, std::floor(limit.burst + beyond))) : all;
         for (std::size_t i = 0; i < m_buckets.size(); ++i)
         {
@@ -221,7 +221,7 @@
         const bool leaderless = is_within(m_wanted.leaderless_from_s, m_wanted.leaderless_for_s);
         if (is_reachable(entry) && !leaderless)
         {
-            m_limiters[static_cast<std::size_t>(entry)].on_keeper_heard(m_time.now);
+            m_limiters[static_cast<std::size_t>(entry)].on_coordinator_contact(m_time.now);
         }
         m_time.at(m_time.now + distribution::report_pace(m_wanted.entries).every(),
                   [this, entry]
@@ -303,9 +303,9 @@
             m_ledger.restart(m_time.now);
         }
         tell(entry, m_ledger.on_report(report, m_time.now));
-        if (m_ledger.has_news())
+        if (m_ledger.has_status_updates())
         {
-            const limit_word news = m_ledger.take_news(m_time.now);
+            const limit_update news = m_ledger.take_status_updates(m_time.now);
             for (int other = 0; other < m_wanted.entries; ++other)
             {
                 tell(other, news);
@@ -313,7 +313,7 @@
         }
     }
 
-    void tell(int entry, const limit_word& word)
+    void tell(int entry, const limit_update& word)
     {
         ++messages;
         if (!is_reachable(entry))
@@ -323,7 +323,7 @@
         m_time.at(m_time.now + way_to_leader(),
                   [this, entry, word]
                   {
-                      m_limiters[static_cast<std::size_t>(entry)].on_word(word, m_time.now);
+                      m_limiters[static_cast<std::size_t>(entry)].on_limit_update(word, m_time.now);
                       look(entry);
                   });
     }
@@ -332,7 +332,7 @@
     const scenario m_wanted;
     std::mt19937 m_draw;
     team m_team;
-    rate_ledger m_ledger;
+    rate_limit_coordinator m_ledger;
     std::vector<rate_limiter> m_limiters;
     /// The leader, who stands in, or the next leader.
     int m_keeper = 0;
@@ -400,7 +400,7 @@
         const double bound_from_ms = wanted.lowered_at_s * 1000.0 + tolerance.window.ms();
         const bool lowered =
             wanted.lowered_at_s >= 0.0 && admitted[first].since_start().ms() >= bound_from_ms;
-        const double most = tolerance.most_of(lowered ? wanted.lowered : wanted.limit);
+        const double most = tolerance.max_requests_per_window(lowered ? wanted.lowered : wanted.limit);
         found.fullest_window = std::max(found.fullest_window, static_cast<double>(last - first + 1) / most);
     }
     token_bucket exact(wanted.limit.requests_per_s, wanted.limit.burst, wanted.limit.burst, time_point{});
--- a/include/flaxtiller/routing/caller_admission.hpp
+++ b/include/flaxtiller/routing/caller_admission.hpp
@@ -56,13 +56,13 @@
     void caller_gone(request_number number);
 
     /// @brief The control replica that keeps the limits lives.
-    void on_keeper_heard(time_point now) noexcept
+    void on_coordinator_contact(time_point now) noexcept
     {
-        m_limiter.on_keeper_heard(now);
+        m_limiter.on_coordinator_contact(now);
     }
 
     /// @brief That replica's word.
-    void on_limit_word(const limit_word& word, time_point now);
+    void on_limit_word(const limit_update& word, time_point now);
 
     /// @brief Time has passed.
     void on_time(time_point now);
--- a/include/flaxtiller/teams/key_digest.hpp
+++ b/include/flaxtiller/teams/key_digest.hpp
@@ -31,7 +31,7 @@
 
     /// @brief Reads what @ref str wrote.
     /// @return false, and @a into is left as it is, for any other text
-    static bool parse(const std::string& text, key_digest& into);
+    static bool parse(const std::string& text, key_digest& output);
 
     /// @return some of its bits, for a hash table
     std::size_t hash() const noexcept;
@@ -41,7 +41,7 @@
 };
 
 /// @return a new secret for @ref key_digest, from the system's source of randomness
-std::string draw_key_secret();
+std::string generate_key_secret();
 
 void to_json(nlohmann::json& j, const key_digest& value);
 
--- a/include/flaxtiller/teams/rate_limit.hpp
+++ b/include/flaxtiller/teams/rate_limit.hpp
@@ -33,13 +33,13 @@
     bool operator==(const rate_tolerance&) const = default;
 
     /// @return the most requests of any window
-    double most_of(const rate_limit& limit) const noexcept
+    double max_requests_per_window(const rate_limit& limit) const noexcept
     {
-        return allowed_of(limit) * (1.0 + overage) + slack;
+        return limit_per_window(limit) * (1.0 + overage) + slack;
     }
 
     /// @return the requests of a window that the limit itself allows
-    double allowed_of(const rate_limit& limit) const noexcept
+    double limit_per_window(const rate_limit& limit) const noexcept
     {
         constexpr double ms_per_s = 1000.0;
         return limit.requests_per_s * window.ms() / ms_per_s + limit.burst;
--- a/include/flaxtiller/teams/rate_limiter.hpp
+++ b/include/flaxtiller/teams/rate_limiter.hpp
@@ -25,16 +25,16 @@
 {
   public:
     /// An answer is awaited for this long: a way to another region and back, on a busy instance.
-    static constexpr duration answer_bound = duration::from_ms(150);
+    static constexpr duration answer_timeout = duration::from_ms(150);
     /// Requests that share a report; a keeper that hears of them this much later still stops a flood in time.
-    static constexpr duration gather = duration::from_ms(20);
+    static constexpr duration report_batch_window = duration::from_ms(20);
 
     enum class verdict
     {
         admitted,
         refused,
         /// Wait for @ref take_decisions.
-        asked,
+        awaiting_coordinator,
     };
 
     /// @brief What becomes of one request, and by what it was decided.
@@ -46,9 +46,9 @@
         /// Of a refused one.
         duration retry_after{};
         /// Whether no keeper's word decided it, but this entry's part of the limit.
-        bool alone = false;
+        bool decided_locally = false;
         /// How long ago the keeper was heard of.
-        duration heard_ago{};
+        duration last_contact_ago{};
 
         bool operator==(const decision&) const = default;
     };
@@ -62,16 +62,16 @@
     decision admit(std::uint64_t request, const team& by, time_point now);
 
     /// @brief The replica that keeps the limits lives, as far as can be told without asking it.
-    void on_keeper_heard(time_point now) noexcept
+    void on_coordinator_contact(time_point now) noexcept
     {
-        m_heard_at = std::max(m_heard_at, now);
+        m_last_contact_at = std::max(m_last_contact_at, now);
     }
 
     /// @brief That replica's word.
-    void on_word(const limit_word& word, time_point now);
+    void on_limit_update(const limit_update& update, time_point now);
 
     /// @brief Nobody waits for this request any more.
-    void forget(std::uint64_t request);
+    void cancel_request(std::uint64_t request);
 
     /// @brief Time has passed.
     void on_time(time_point now);
@@ -86,27 +86,27 @@
     time_point next_time() const noexcept;
 
     /// @return whether a report was left unanswered for too long
-    bool is_alone(time_point now) const noexcept;
+    bool is_coordinator_unavailable(time_point now) const noexcept;
 
   private:
-    struct standing
+    struct team_state
     {
         /// Admitted, and not known to the keeper yet: to be reported, and reported.
         std::int64_t unreported = 0;
-        std::int64_t unanswered = 0;
+        std::int64_t unacknowledged = 0;
         bool limited = false;
-        time_point dry_until{};
+        time_point exhausted_until{};
         /// This entry's part of the limit.
-        token_bucket own;
+        token_bucket local_share;
     };
 
     struct sent_report
     {
-        std::vector<limit_use> used;
+        std::vector<limit_usage> usage;
         time_point at;
     };
 
-    struct waiting
+    struct waiting_request
     {
         std::uint64_t request = 0;
         team_name team;
@@ -114,23 +114,23 @@
         bool sent = false;
     };
 
-    std::int64_t most_unknown(time_point now) const noexcept;
-    void note_admitted(standing& item, time_point now);
-    void set_limit(standing& item, const rate_limit& limit, time_point now) const;
-    decision decide_alone(std::uint64_t request, const team_name& team, standing& item, time_point now);
-    decision made(std::uint64_t request, const team_name& team, verdict what, time_point now) const;
-    void want_report(time_point at) noexcept;
-    void send_again(time_point now);
+    std::int64_t max_unacknowledged(time_point now) const noexcept;
+    void record_admitted(team_state& item, time_point now);
+    void update_local_share(team_state& item, const rate_limit& limit, time_point now) const;
+    decision decide_locally(std::uint64_t request, const team_name& team, team_state& item, time_point now);
+    decision make_decision(std::uint64_t request, const team_name& team, verdict what, time_point now) const;
+    void schedule_report(time_point at) noexcept;
+    void resend_unacknowledged(time_point now);
 
     int m_entries = 0;
-    std::map<team_name, standing> m_teams;
+    std::map<team_name, team_state> m_teams;
     std::map<std::uint64_t, sent_report> m_sent;
-    std::map<std::uint64_t, waiting> m_waiting;
+    std::map<std::uint64_t, waiting_request> m_waiting;
     std::vector<decision> m_decisions;
     std::uint64_t m_next_report = 1;
     std::uint64_t m_next_ask = 1;
     time_point m_report_at = time_point::never();
-    time_point m_heard_at{};
+    time_point m_last_contact_at{};
 };
 
 } // namespace flaxtiller
--- a/include/flaxtiller/teams/team_table.hpp
+++ b/include/flaxtiller/teams/team_table.hpp
@@ -16,7 +16,7 @@
 {
     /// Null for an anonymous caller.
     const team* by = nullptr;
-    bool is_allowed = true;
+    bool is_authorized = true;
 };
 
 /// @brief The teams of one revision, found by name and by key. Immutable.
--- a/src/catalog/catalog_state.cpp
+++ b/src/catalog/catalog_state.cpp
@@ -29,7 +29,7 @@
     const bool declares = items != nullptr && items->is_object() && items->contains(detail::teams_key);
     if (declares && !items->contains(detail::key_secret_key))
     {
-        (*items)[detail::key_secret_key] = draw_key_secret();
+        (*items)[detail::key_secret_key] = generate_key_secret();
     }
 }
 
--- a/src/control/control_implementation.hpp
+++ b/src/control/control_implementation.hpp
@@ -18,7 +18,7 @@
 #include <flaxtiller/quorum/posix_file_system.hpp>
 #include <flaxtiller/quorum/replicated_machine.hpp>
 #include <flaxtiller/register/register_state.hpp>
-#include <flaxtiller/teams/rate_ledger.hpp>
+#include <flaxtiller/teams/rate_limit_coordinator.hpp>
 
 #include <utility>
 
@@ -112,7 +112,7 @@
     distribution::publisher publisher;
     registration_hub hub;
     crash_hub crashes;
-    rate_ledger limits;
+    rate_limit_coordinator limits;
     /// As what this replica last kept the limits of teams.
     struct limit_keeping
     {
--- a/src/control/control_links.cpp
+++ b/src/control/control_links.cpp
@@ -184,21 +184,21 @@
     if (now >= share_limits_at)
     {
         share_limits_at = now + share_limits_every;
-        limits.set_share(limits_share(report.entries, now), now);
+        limits.set_limit_share(limits_share(report.entries, now), now);
     }
     links.send(from.name, limits.on_report(report, now));
-    if (!limits.has_news())
+    if (!limits.has_status_updates())
     {
         return;
     }
-    const limit_word news = limits.take_news(now);
+    const limit_update news = limits.take_status_updates(now);
     const std::vector<std::string> receivers = entry_names();
-    for (const limit_standing& told : news.standings)
+    for (const limit_status& told : news.statuses)
     {
         log(log_level::info, "team_limited",
             {{"team", told.team.str()},
              {"tokens", limits.tokens(told.team, now)},
-             {"dry_ms", told.dry_for.ms()},
+             {"dry_ms", told.exhausted_for.ms()},
              {"told", receivers.size()}});
     }
     links.send(receivers, news);
--- a/src/entry/entry_links.cpp
+++ b/src/entry/entry_links.cpp
@@ -84,7 +84,7 @@
         routed->on_crash_news(from.name, {message, crashes});
         return true;
     }
-    if (const auto* limits = std::get_if<limit_word>(&*message))
+    if (const auto* limits = std::get_if<limit_update>(&*message))
     {
         routed->on_limit_word(from.name, {message, limits});
         return true;
--- a/src/routing/caller_admission.cpp
+++ b/src/routing/caller_admission.cpp
@@ -55,7 +55,7 @@
     const auto by = m_routes->find(request.host, request.target);
     const std::string route = by ? by->name : std::string();
     const authentication caller = m_teams->authenticate(by.get(), key);
-    if (!caller.is_allowed)
+    if (!caller.is_authorized)
     {
         turn_away(number, routed_end::unauthorized, route);
         return;
@@ -72,7 +72,7 @@
         return;
     }
     const rate_limiter::decision made = m_limiter.admit(number, *caller.by, now);
-    if (made.what == rate_limiter::verdict::asked)
+    if (made.what == rate_limiter::verdict::awaiting_coordinator)
     {
         m_held.emplace(number, held_request{std::move(request), route, now});
         return;
@@ -95,13 +95,13 @@
 {
     if (m_held.erase(number) > 0)
     {
-        m_limiter.forget(number);
+        m_limiter.cancel_request(number);
     }
 }
 
-void caller_admission::on_limit_word(const limit_word& word, time_point now)
+void caller_admission::on_limit_word(const limit_update& word, time_point now)
 {
-    m_limiter.on_word(word, now);
+    m_limiter.on_limit_update(word, now);
 }
 
 void caller_admission::on_time(time_point now)
--- a/src/shell/link_message.hpp
+++ b/src/shell/link_message.hpp
@@ -172,7 +172,7 @@
                  register_call, register_return, distribution::revision_update, distribution::revision_report,
                  distribution::revision_confirmation, incarnation_notice, registration_update,
                  registration_heard, registration_digest, control_members, entry_list, routed_ask,
-                 routed_return, routed_abandon, member_request, limit_report, limit_word, crash_news>;
+                 routed_return, routed_abandon, member_request, limit_report, limit_update, crash_news>;
 
 inline constexpr std::size_t link_message_kinds = std::variant_size_v<link_message>;
 
--- a/src/shell/routed_front.hpp
+++ b/src/shell/routed_front.hpp
@@ -52,7 +52,7 @@
     void on_abandon(const std::string& from, const routed_abandon& abandoned);
 
     /// @brief A control replica's word on limits; only that of the keeper counts. Thread-safe.
-    void on_limit_word(const std::string& from, const std::shared_ptr<const limit_word>& word);
+    void on_limit_word(const std::string& from, const std::shared_ptr<const limit_update>& word);
 
     /// @brief What a control replica knows of requests that crash backend servers. Thread-safe.
     void on_crash_news(const std::string& from, const std::shared_ptr<const crash_news>& news);
--- a/src/shell/routed_front_actions.cpp
+++ b/src/shell/routed_front_actions.cpp
@@ -167,8 +167,8 @@
         {{"request", from == m_callers.end() ? std::string() : from->second.id},
          {"team", made.team.str()},
          {"keeper", m_limit_keeper},
-         {"alone", made.alone},
-         {"heard_ms_ago", made.heard_ago.ms()},
+         {"alone", made.decided_locally},
+         {"heard_ms_ago", made.last_contact_ago.ms()},
          {"retry_after_ms", made.retry_after.ms()}});
 }
 
--- a/src/shell/routed_front_entries.cpp
+++ b/src/shell/routed_front_entries.cpp
@@ -74,7 +74,7 @@
     carry_out();
 }
 
-void routed_front::on_limit_word(const std::string& from, const std::shared_ptr<const limit_word>& word)
+void routed_front::on_limit_word(const std::string& from, const std::shared_ptr<const limit_update>& word)
 {
     net::dispatch(
         m_strand,
@@ -128,7 +128,7 @@
             }
             if (heard)
             {
-                m_admission.on_keeper_heard(m_clock.now());
+                m_admission.on_coordinator_contact(m_clock.now());
             }
         });
 }
--- a/src/teams/key_digest.cpp
+++ b/src/teams/key_digest.cpp
@@ -25,9 +25,9 @@
 key_digest::key_digest(std::string_view secret, std::string_view key)
 {
     static_assert(size >= crypto_generichash_BYTES_MIN && size <= crypto_generichash_BYTES_MAX);
-    const std::size_t used = std::min<std::size_t>(secret.size(), crypto_generichash_KEYBYTES_MAX);
+    const std::size_t secret_size = std::min<std::size_t>(secret.size(), crypto_generichash_KEYBYTES_MAX);
     crypto_generichash(m_bytes.data(), m_bytes.size(), reinterpret_cast<const unsigned char*>(key.data()),
-                       key.size(), reinterpret_cast<const unsigned char*>(secret.data()), used);
+                       key.size(), reinterpret_cast<const unsigned char*>(secret.data()), secret_size);
 }
 
 bool key_digest::operator==(const key_digest& other) const noexcept
@@ -40,7 +40,7 @@
     return to_hex(m_bytes);
 }
 
-bool key_digest::parse(const std::string& text, key_digest& into)
+bool key_digest::parse(const std::string& text, key_digest& output)
 {
     std::array<unsigned char, size> bytes{};
     std::size_t read = 0;
@@ -50,7 +50,7 @@
     {
         return false;
     }
-    into.m_bytes = bytes;
+    output.m_bytes = bytes;
     return true;
 }
 
@@ -61,7 +61,7 @@
     return bits;
 }
 
-std::string draw_key_secret()
+std::string generate_key_secret()
 {
     std::array<unsigned char, crypto_generichash_KEYBYTES> bytes{};
     randombytes_buf(bytes.data(), bytes.size());
--- a/src/teams/rate_limiter.cpp
+++ b/src/teams/rate_limiter.cpp
@@ -13,26 +13,26 @@
 
 /// Requests of one team that the keeper doesn't know of yet: while it lives, and for a moment where it
 /// doesn't answer. Callers of one team reach many entries, so that more would add up.
-constexpr std::int64_t most_unknown_at_first = 2;
-constexpr std::int64_t most_unknown_alone = 1;
+constexpr std::int64_t max_unacknowledged_requests = 2;
+constexpr std::int64_t max_unacknowledged_without_answer = 1;
 /// Another replica keeps the limits within this.
-constexpr duration short_silence = duration::from_ms(3000);
+constexpr duration brief_outage = duration::from_ms(3000);
 /// A keeper that wasn't heard of for this many reports may be gone: it is asked first.
-constexpr double fresh_paces = 1.6;
+constexpr double recent_contact_intervals = 1.6;
 /// Where nobody answers, entries use this share of the limit together: some may still reach a keeper.
-constexpr double share_alone = 0.5;
+constexpr double local_limit_share = 0.5;
 /// While it isn't known how many entries there are.
-constexpr int unknown_entries = 1000;
+constexpr int assumed_entries = 1000;
 /// A team's limit may be raised, or another replica keep it, before its tokens come back: the keeper is asked
 /// again after this.
-constexpr duration longest_dry = duration::from_ms(1000);
+constexpr duration max_exhausted_time = duration::from_ms(1000);
 /// Requests that wait for the keeper's word; more are refused.
-constexpr std::size_t most_waiting = 1024;
+constexpr std::size_t max_waiting_requests = 1024;
 /// What no answer came to is reported again after this.
-constexpr duration send_again_after = duration::from_ms(1000);
+constexpr duration resend_after_timeout = duration::from_ms(1000);
 /// When to come back where nobody can tell when the limit has room: another replica keeps the limits within
 /// seconds.
-constexpr duration retry_alone = duration::from_ms(500);
+constexpr duration local_retry_after = duration::from_ms(500);
 
 } // namespace
 
@@ -46,124 +46,126 @@
                   });
 }
 
-bool rate_limiter::is_alone(time_point now) const noexcept
+bool rate_limiter::is_coordinator_unavailable(time_point now) const noexcept
 {
     return std::any_of(m_sent.begin(), m_sent.end(),
                        [&](const auto& report)
                        {
-                           return report.second.at >= m_heard_at && now - report.second.at >= answer_bound;
+                           return report.second.at >= m_last_contact_at &&
+                                  now - report.second.at >= answer_timeout;
                        });
 }
 
-rate_limiter::decision rate_limiter::made(std::uint64_t request, const team_name& team, verdict what,
+rate_limiter::decision rate_limiter::make_decision(std::uint64_t request, const team_name& team, verdict what,
                                           time_point now) const
 {
-    return {request, team, what, {}, false, now - m_heard_at};
+    return {request, team, what, {}, false, now - m_last_contact_at};
 }
 
-void rate_limiter::set_limit(standing& item, const rate_limit& limit, time_point now) const
+void rate_limiter::update_local_share(team_state& item, const rate_limit& limit, time_point now) const
 {
-    const double entries = m_entries > 0 ? m_entries : unknown_entries;
-    item.own.limit(limit.requests_per_s * share_alone / entries, 1.0, now);
+    const double entries = m_entries > 0 ? m_entries : assumed_entries;
+    item.local_share.limit(limit.requests_per_s * local_limit_share / entries, 1.0, now);
 }
 
-void rate_limiter::want_report(time_point at) noexcept
+void rate_limiter::schedule_report(time_point at) noexcept
 {
     m_report_at = std::min(m_report_at, at);
 }
 
-void rate_limiter::note_admitted(standing& item, time_point now)
+void rate_limiter::record_admitted(team_state& item, time_point now)
 {
     ++item.unreported;
-    want_report(now + gather);
+    schedule_report(now + report_batch_window);
 }
 
 /// @return how many requests of a team may be admitted without the keeper's knowledge
-std::int64_t rate_limiter::most_unknown(time_point now) const noexcept
+std::int64_t rate_limiter::max_unacknowledged(time_point now) const noexcept
 {
-    const duration silence = now - m_heard_at;
-    if (is_alone(now))
+    const duration time_since_contact = now - m_last_contact_at;
+    if (is_coordinator_unavailable(now))
     {
-        return silence < short_silence ? most_unknown_alone : 0;
+        return time_since_contact < brief_outage ? max_unacknowledged_without_answer : 0;
     }
-    const duration fresh_for = distribution::report_pace(m_entries).every() * fresh_paces;
-    return silence < fresh_for ? most_unknown_at_first : 0;
+    const duration contact_is_recent_for =
+        distribution::report_pace(m_entries).every() * recent_contact_intervals;
+    return time_since_contact < contact_is_recent_for ? max_unacknowledged_requests : 0;
 }
 
 rate_limiter::decision rate_limiter::admit(std::uint64_t request, const team& by, time_point now)
 {
-    standing& item = m_teams[by.name];
-    set_limit(item, by.limit, now);
-    if (!item.limited && item.unreported + item.unanswered < most_unknown(now))
+    team_state& item = m_teams[by.name];
+    update_local_share(item, by.limit, now);
+    if (!item.limited && item.unreported + item.unacknowledged < max_unacknowledged(now))
     {
-        note_admitted(item, now);
-        return made(request, by.name, verdict::admitted, now);
+        record_admitted(item, now);
+        return make_decision(request, by.name, verdict::admitted, now);
     }
-    if (is_alone(now))
+    if (is_coordinator_unavailable(now))
     {
-        return decide_alone(request, by.name, item, now);
+        return decide_locally(request, by.name, item, now);
     }
-    if (now < item.dry_until || m_waiting.size() >= most_waiting)
+    if (now < item.exhausted_until || m_waiting.size() >= max_waiting_requests)
     {
-        decision refused = made(request, by.name, verdict::refused, now);
-        refused.retry_after = std::max(item.dry_until - now, answer_bound);
+        decision refused = make_decision(request, by.name, verdict::refused, now);
+        refused.retry_after = std::max(item.exhausted_until - now, answer_timeout);
         return refused;
     }
-    m_waiting.emplace(m_next_ask++, waiting{request, by.name, now});
-    want_report(now);
-    return made(request, by.name, verdict::asked, now);
+    m_waiting.emplace(m_next_ask++, waiting_request{request, by.name, now});
+    schedule_report(now);
+    return make_decision(request, by.name, verdict::awaiting_coordinator, now);
 }
 
-rate_limiter::decision rate_limiter::decide_alone(std::uint64_t request, const team_name& team,
-                                                  standing& item, time_point now)
+rate_limiter::decision rate_limiter::decide_locally(std::uint64_t request, const team_name& team,
+                                                  team_state& item, time_point now)
 {
-    decision alone = made(request, team, verdict::refused, now);
-    alone.alone = true;
-    if (item.own.take(now))
+    decision local = make_decision(request, team, verdict::refused, now);
+    local.decided_locally = true;
+    if (item.local_share.take(now))
     {
-        alone.what = verdict::admitted;
-        note_admitted(item, now);
-        return alone;
+        local.what = verdict::admitted;
+        record_admitted(item, now);
+        return local;
     }
-    alone.retry_after = retry_alone;
-    return alone;
+    local.retry_after = local_retry_after;
+    return local;
 }
 
-void rate_limiter::on_word(const limit_word& word, time_point now)
+void rate_limiter::on_limit_update(const limit_update& update, time_point now)
 {
-    m_heard_at = now;
-    const auto answered = m_sent.find(word.number);
+    m_last_contact_at = now;
+    const auto answered = m_sent.find(update.number);
     if (answered != m_sent.end())
     {
-        for (const limit_use& used : answered->second.used)
+        for (const limit_usage& usage : answered->second.usage)
         {
-            standing& item = m_teams[used.team];
-            item.unanswered = std::max<std::int64_t>(item.unanswered - used.requests, 0);
+            team_state& item = m_teams[usage.team];
+            item.unacknowledged = std::max<std::int64_t>(item.unacknowledged - usage.requests, 0);
         }
         m_sent.erase(answered);
     }
-    for (const limit_standing& told : word.standings)
+    for (const limit_status& status : update.statuses)
     {
-        standing& item = m_teams[told.team];
-        item.limited = told.limited;
-        item.dry_until = now + std::min(told.dry_for, longest_dry);
+        team_state& item = m_teams[status.team];
+        item.limited = status.limited;
+        item.exhausted_until = now + std::min(status.exhausted_for, max_exhausted_time);
     }
-    for (const limit_grant& grant : word.grants)
+    for (const limit_decision& answer : update.request_decisions)
     {
-        const auto asked = m_waiting.find(grant.number);
-        if (asked == m_waiting.end())
+        const auto waiting = m_waiting.find(answer.number);
+        if (waiting == m_waiting.end())
         {
             continue;
         }
-        decision told = made(asked->second.request, asked->second.team,
-                             grant.granted ? verdict::admitted : verdict::refused, now);
-        told.retry_after = grant.retry_after;
-        m_decisions.push_back(std::move(told));
-        m_waiting.erase(asked);
+        decision decided = make_decision(waiting->second.request, waiting->second.team,
+                                         answer.granted ? verdict::admitted : verdict::refused, now);
+        decided.retry_after = answer.retry_after;
+        m_decisions.push_back(std::move(decided));
+        m_waiting.erase(waiting);
     }
 }
 
-void rate_limiter::forget(std::uint64_t request)
+void rate_limiter::cancel_request(std::uint64_t request)
 {
     std::erase_if(m_waiting,
                   [&](const auto& item)
@@ -173,23 +175,23 @@
 }
 
 /// A report to a keeper that is gone by now, or whose answer was lost: what it told is told again.
-void rate_limiter::send_again(time_point now)
+void rate_limiter::resend_unacknowledged(time_point now)
 {
     for (auto at = m_sent.begin(); at != m_sent.end();)
     {
         const auto current = at++;
-        if (now - current->second.at < send_again_after)
+        if (now - current->second.at < resend_after_timeout)
         {
             continue;
         }
-        for (const limit_use& used : current->second.used)
+        for (const limit_usage& usage : current->second.usage)
         {
-            standing& item = m_teams[used.team];
-            item.unanswered -= used.requests;
-            item.unreported += used.requests;
+            team_state& item = m_teams[usage.team];
+            item.unacknowledged -= usage.requests;
+            item.unreported += usage.requests;
         }
         m_sent.erase(current);
-        want_report(now);
+        schedule_report(now);
     }
 }
 
@@ -198,15 +200,15 @@
     for (auto at = m_waiting.begin(); at != m_waiting.end();)
     {
         const auto current = at++;
-        const waiting& item = current->second;
-        if (now - item.since < answer_bound)
+        const waiting_request& item = current->second;
+        if (now - item.since < answer_timeout)
         {
             continue;
         }
-        m_decisions.push_back(decide_alone(item.request, item.team, m_teams[item.team], now));
+        m_decisions.push_back(decide_locally(item.request, item.team, m_teams[item.team], now));
         m_waiting.erase(current);
     }
-    send_again(now);
+    resend_unacknowledged(now);
 }
 
 std::vector<rate_limiter::decision> rate_limiter::take_decisions()
@@ -228,8 +230,8 @@
     {
         if (item.unreported > 0)
         {
-            report.used.push_back({name, item.unreported});
-            item.unanswered += std::exchange(item.unreported, 0);
+            report.usage.push_back({name, item.unreported});
+            item.unacknowledged += std::exchange(item.unreported, 0);
         }
     }
     for (auto& [number, item] : m_waiting)
@@ -237,14 +239,14 @@
         if (!item.sent)
         {
             item.sent = true;
-            report.asked.push_back({number, item.team});
+            report.pending_requests.push_back({number, item.team});
         }
     }
-    if (report.used.empty() && report.asked.empty())
+    if (report.usage.empty() && report.pending_requests.empty())
     {
         return std::nullopt;
     }
-    m_sent.emplace(report.number, sent_report{report.used, now});
+    m_sent.emplace(report.number, sent_report{report.usage, now});
     return report;
 }
 
@@ -254,11 +256,11 @@
     if (!m_waiting.empty())
     {
         // In the order of their arrival.
-        next = std::min(next, m_waiting.begin()->second.since + answer_bound);
+        next = std::min(next, m_waiting.begin()->second.since + answer_timeout);
     }
     if (!m_sent.empty())
     {
-        next = std::min(next, m_sent.begin()->second.at + send_again_after);
+        next = std::min(next, m_sent.begin()->second.at + resend_after_timeout);
     }
     return next;
 }
--- a/src/teams/team.cpp
+++ b/src/teams/team.cpp
@@ -11,7 +11,7 @@
 {
 
 constexpr int highest_priority = 1000;
-constexpr double most_requests_per_s = 1e9;
+constexpr double max_requests_per_s = 1e9;
 
 void read_keys(json_reader& reader, std::vector<std::string>& into)
 {
@@ -56,14 +56,14 @@
 
 team team::without_keys(const std::string& secret) const
 {
-    team known = *this;
-    known.keys.clear();
-    known.key_digests.clear();
+    team redacted = *this;
+    redacted.keys.clear();
+    redacted.key_digests.clear();
     for (const std::string& key : keys)
     {
-        known.key_digests.emplace_back(secret, key);
+        redacted.key_digests.emplace_back(secret, key);
     }
-    return known;
+    return redacted;
 }
 
 void to_json(nlohmann::json& j, const team& value)
@@ -93,8 +93,8 @@
     read_keys(reader, into.keys);
     read_digests(reader, into.key_digests);
     read_priority(reader, into.priority);
-    reader.number("requests_per_s", into.limit.requests_per_s, 0.0, most_requests_per_s);
-    reader.number("burst", into.limit.burst, 0.0, most_requests_per_s);
+    reader.number("requests_per_s", into.limit.requests_per_s, 0.0, max_requests_per_s);
+    reader.number("burst", into.limit.burst, 0.0, max_requests_per_s);
     read_allowed_regions(reader, into.allowed_regions);
 }
 
--- a/tests/src/unit-team-limits.cpp
+++ b/tests/src/unit-team-limits.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-constexpr double most_refused_below = 0.05;
+constexpr double max_refused_below_limit = 0.05;
 constexpr int seeds = 5;
 
 struct named_scenario
@@ -23,17 +23,17 @@
     const char* name;
     scenario what;
     /// Whether a leader can be asked all the while.
-    bool led = true;
+    bool coordinator_reachable = true;
 };
 
 std::vector<named_scenario> scenarios(int entries)
 {
     std::vector<named_scenario> all;
-    const auto add = [&](const char* name, bool led) -> scenario&
+    const auto add = [&](const char* name, bool coordinator_reachable) -> scenario&
     {
-        all.push_back({name, {}, led});
-        all.back().what.entries = entries;
-        return all.back().what;
+        all.push_back({name, {}, coordinator_reachable});
+        all.retry_after_ms().what.entries = entries;
+        return all.retry_after_ms().what;
     };
     add("usual", true);
     add("small team", true).limit = {0.5, 1.0};
@@ -59,12 +59,12 @@
     split.hot_for_s = 6.0;
     split.leaderless_from_s = 10.0;
     split.leaderless_for_s = 7.6;
-    scenario& cut = add("a third cut off while hot", false);
-    cut.hot_factor = 9.0;
-    cut.hot_for_s = 10.0;
-    cut.cut_share = 1.0 / 3.0;
-    cut.cut_from_s = 11.0;
-    cut.cut_for_s = 6.0;
+    scenario& partition = add("a third cut off while hot", false);
+    partition.hot_factor = 9.0;
+    partition.hot_for_s = 10.0;
+    partition.cut_share = 1.0 / 3.0;
+    partition.cut_from_s = 11.0;
+    partition.cut_for_s = 6.0;
     scenario& restart = add("all restart while hot", false);
     restart.hot_factor = 9.0;
     restart.hot_for_s = 10.0;
@@ -72,7 +72,7 @@
     return all;
 }
 
-team team_with(double requests_per_s, double burst)
+team team_with_limit(double requests_per_s, double burst)
 {
     team made;
     made.name = team_name("t");
@@ -80,7 +80,7 @@
     return made;
 }
 
-shared_map<team_name, team> only(const team& item)
+shared_map<team_name, team> teams_of(const team& item)
 {
     shared_map<team_name, team> teams;
     teams.insert_or_assign(item.name, item);
@@ -102,8 +102,8 @@
         for (named_scenario& item : scenarios(entries))
         {
             limit_play::result worst;
-            limit_play::result worst_shares;
-            limit_play::result worst_whole;
+            limit_play::result worst_divided;
+            limit_play::result worst_without_division;
             const auto add = [](limit_play::result& sum, const limit_play::result& one)
             {
                 sum.fullest_window = std::max(sum.fullest_window, one.fullest_window);
@@ -115,48 +115,49 @@
             {
                 item.what.seed = seed;
                 add(worst, play_account(item.what));
-                add(worst_shares, play_shares(item.what, false));
-                add(worst_whole, play_shares(item.what, true));
+                add(worst_divided, play_shares(item.what, false));
+                add(worst_without_division, play_shares(item.what, true));
             }
             if (print)
             {
                 std::cout << entries << " | " << item.name << " | " << worst.fullest_window << " | "
                           << worst.refused_below << " | " << worst.messages_per_s << " | "
-                          << worst.mean_wait_ms << " | n-th: " << worst_shares.fullest_window << " | "
-                          << worst_shares.refused_below << " | whole: " << worst_whole.fullest_window << " | "
-                          << worst_whole.refused_below << "\n";
+                          << worst.mean_wait_ms << " | n-th: " << worst_divided.fullest_window << " | "
+                          << worst_divided.refused_below << " | whole: " << worst_without_division.fullest_window << " | "
+                          << worst_without_division.refused_below << "\n";
             }
             INFO(item.name << " at " << entries << " entries");
             CHECK(worst.fullest_window <= 1.0);
-            if (item.led)
+            if (item.coordinator_reachable)
             {
-                CHECK(worst.refused_below <= most_refused_below);
+                CHECK(worst.refused_below <= max_refused_below_limit);
             }
         }
     }
 }
 
-TEST_CASE("an entry admits at once what is within the limit, and asks for the rest", "[teams]")
+TEST_CASE("an entry admits at once what is within the limit, and asks for the rest",
+          "[teams]")
 {
     rate_limiter limiter;
-    const team by = team_with(10.0, 10.0);
-    limiter.configure(only(by), 85);
-    limiter.on_keeper_heard(at_ms(0));
+    const team by = team_with_limit(10.0, 10.0);
+    limiter.configure(teams_of(by), 85);
+    limiter.on_coordinator_contact(at_ms(0));
     using verdict = rate_limiter::verdict;
 
     CHECK(limiter.admit(1, by, at_ms(0)).what == verdict::admitted);
     CHECK(limiter.admit(2, by, at_ms(1)).what == verdict::admitted);
     // Nobody knows of the first two yet.
-    CHECK(limiter.admit(3, by, at_ms(2)).what == verdict::asked);
+    CHECK(limiter.admit(3, by, at_ms(2)).what == verdict::awaiting_coordinator);
     const auto report = limiter.take_report(at_ms(2));
     REQUIRE(report);
-    CHECK(report->used == std::vector<limit_use>{{by.name, 2}});
-    REQUIRE(report->asked.size() == 1);
+    CHECK(report->usage == std::vector<limit_usage>{{by.name, 2}});
+    REQUIRE(report->pending_requests.size() == 1);
 
     SECTION("what is granted is admitted, and what was reported is known")
     {
-        limiter.on_word({report->number, {{report->asked[0].number, true, {}}}, {{by.name, false, {}}}},
-                        at_ms(20));
+        limiter.on_limit_update(
+            {report->number, {{report->pending_requests[0].number, true, {}}}, {{by.name, false, {}}}}, at_ms(20));
         const auto decisions = limiter.take_decisions();
         REQUIRE(decisions.size() == 1);
         CHECK(decisions[0].request == 3);
@@ -166,25 +167,25 @@
     SECTION("what isn't granted is refused with the leader's word on when to come back")
     {
         const duration wait = duration::from_ms(300);
-        limiter.on_word({report->number, {{report->asked[0].number, false, wait}}, {{by.name, true, wait}}},
-                        at_ms(20));
+        limiter.on_limit_update(
+            {report->number, {{report->pending_requests[0].number, false, wait}}, {{by.name, true, wait}}}, at_ms(20));
         const auto decisions = limiter.take_decisions();
         REQUIRE(decisions.size() == 1);
         CHECK(decisions[0].what == verdict::refused);
         CHECK(decisions[0].retry_after == wait);
         // Until the leader has something again nobody is asked.
         CHECK(limiter.admit(4, by, at_ms(100)).what == verdict::refused);
-        CHECK(limiter.admit(5, by, at_ms(320)).what == verdict::asked);
+        CHECK(limiter.admit(5, by, at_ms(320)).what == verdict::awaiting_coordinator);
     }
     SECTION("a leader that doesn't answer is waited for once")
     {
-        CHECK(limiter.next_time() <= at_ms(2) + rate_limiter::answer_bound);
-        limiter.on_time(at_ms(2) + rate_limiter::answer_bound);
+        CHECK(limiter.next_time() <= at_ms(2) + rate_limiter::answer_timeout);
+        limiter.on_time(at_ms(2) + rate_limiter::answer_timeout);
         const auto decisions = limiter.take_decisions();
         REQUIRE(decisions.size() == 1);
         CHECK(decisions[0].what == verdict::refused);
-        CHECK(decisions[0].alone);
-        CHECK(limiter.is_alone(at_ms(200)));
+        CHECK(decisions[0].decided_locally);
+        CHECK(limiter.is_coordinator_unavailable(at_ms(200)));
         CHECK(limiter.admit(4, by, at_ms(200)).what == verdict::refused);
         // One of each other team goes on, for a moment.
         team other = by;
@@ -195,12 +196,12 @@
         limiter.on_time(at_ms(1100));
         const auto again = limiter.take_report(at_ms(1100));
         REQUIRE(again);
-        CHECK(again->used == std::vector<limit_use>{{other.name, 1}, {by.name, 2}});
+        CHECK(again->usage == std::vector<limit_usage>{{other.name, 1}, {by.name, 2}});
         CHECK(again->number != report->number);
     }
     SECTION("nobody waits any more")
     {
-        limiter.forget(3);
+        limiter.cancel_request(3);
         limiter.on_time(at_ms(500));
         CHECK(limiter.take_decisions().empty());
     }
@@ -208,31 +209,31 @@
 
 TEST_CASE("callers that are sent away are called back one after the other", "[teams]")
 {
-    rate_ledger ledger({duration::from_ms(5000), 0.0, 0.0});
-    const team by = team_with(2.0, 2.0);
-    ledger.configure(only(by), at_ms(0));
+    rate_limit_coordinator ledger({duration::from_ms(5000), 0.0, 0.0});
+    const team by = team_with_limit(2.0, 2.0);
+    ledger.configure(teams_of(by), at_ms(0));
     limit_report report{1, 0, {{by.name, 4}}, {{1, by.name}, {2, by.name}, {3, by.name}}};
-    const limit_word word = ledger.on_report(report, at_ms(0));
-    REQUIRE(word.grants.size() == 3);
-    std::vector<double> back;
-    for (const limit_grant& grant : word.grants)
+    const limit_update update = ledger.on_report(report, at_ms(0));
+    REQUIRE(update.request_decisions.size() == 3);
+    std::vector<double> retry_after_ms;
+    for (const limit_decision& grant : update.request_decisions)
     {
         CHECK_FALSE(grant.granted);
-        back.push_back(grant.retry_after.ms());
+        retry_after_ms.push_back(grant.retry_after.ms());
     }
-    CHECK(back[1] - back[0] == Approx(500.0));
-    CHECK(back[2] - back[1] == Approx(500.0));
-    CHECK(ledger.has_news());
+    CHECK(retry_after_ms[1] - retry_after_ms[0] == Approx(500.0));
+    CHECK(retry_after_ms[2] - retry_after_ms[1] == Approx(500.0));
+    CHECK(ledger.has_status_updates());
     // It comes true.
-    const limit_word later = ledger.on_report({2, 0, {}, {{4, by.name}}}, at_ms(back[0] + 1.0));
-    CHECK(later.grants.at(0).granted);
+    const limit_update later = ledger.on_report({2, 0, {}, {{4, by.name}}}, at_ms(retry_after_ms[0] + 1.0));
+    CHECK(later.request_decisions.at(0).granted);
 }
 
 TEST_CASE("a request is admitted before anything else of it is decided", "[teams]")
 {
-    team known = team_with(1000.0, 1000.0);
+    team known = team_with_limit(1000.0, 1000.0);
     known.keys = {"right-key"};
-    const std::string secret = draw_key_secret();
+    const std::string secret = generate_key_secret();
     routing_view view;
     view.entries = 3;
     view.placed = std::make_shared<const placement>();
@@ -248,11 +249,11 @@
         routes.emplace(by.name, by);
     }
     view.routes = std::make_shared<const route_table>(routes);
-    view.teams = std::make_shared<const team_table>(only(known.without_keys(secret)), secret);
+    view.teams = std::make_shared<const team_table>(teams_of(known.without_keys(secret)), secret);
     caller_admission admission;
     admission.configure(view);
 
-    const auto ask = [&](const std::string& path, const std::string& key)
+    const auto admit_request_with = [&](const std::string& path, const std::string& key)
     {
         routed_request request;
         request.id = "r";
@@ -261,32 +262,32 @@
         admission.arrive(1, request, key, at_ms(0));
         return admission.take_actions(at_ms(0)).front();
     };
-    const auto turned_away = [&](const std::string& path, const std::string& key)
+    const auto is_unauthorized = [&](const std::string& path, const std::string& key)
     {
-        const admission_action action = ask(path, key);
+        const admission_action action = admit_request_with(path, key);
         const auto* refused = std::get_if<turn_away_request>(&action);
         return refused != nullptr && refused->outcome.end == routed_end::unauthorized;
     };
     const auto team_of = [&](const std::string& path, const std::string& key)
     {
-        return std::get<admit_request>(ask(path, key)).admitted->team;
+        return std::get<admit_request>(admit_request_with(path, key)).admitted->team;
     };
 
     CHECK(team_of("/closed/x", "right-key") == known.name);
-    CHECK(turned_away("/closed/x", "wrong-key"));
-    CHECK(turned_away("/closed/x", ""));
+    CHECK(is_unauthorized("/closed/x", "wrong-key"));
+    CHECK(is_unauthorized("/closed/x", ""));
     CHECK(team_of("/open/x", "").empty());
     CHECK(team_of("/open/x", "right-key") == known.name);
-    CHECK(turned_away("/open/x", "wrong-key"));
-    CHECK(turned_away("/nowhere/x", ""));
+    CHECK(is_unauthorized("/open/x", "wrong-key"));
+    CHECK(is_unauthorized("/nowhere/x", ""));
     CHECK(team_of("/nowhere/x", "right-key") == known.name);
 
     SECTION("a key that is withdrawn is refused from then on")
     {
         known.keys.clear();
-        view.teams = std::make_shared<const team_table>(only(known.without_keys(secret)), secret);
+        view.teams = std::make_shared<const team_table>(teams_of(known.without_keys(secret)), secret);
         admission.configure(view);
-        CHECK(turned_away("/closed/x", "right-key"));
+        CHECK(is_unauthorized("/closed/x", "right-key"));
     }
     SECTION("without teams nobody needs a key, and none is looked at")
     {
