--- a/include/flaxtiller/teams/key_digest.hpp
+++ b/include/flaxtiller/teams/key_digest.hpp
@@ -11,7 +11,8 @@
 namespace flaxtiller
 {
 
-/// @brief A caller's key as instances keep it: a keyed digest (BLAKE2b), from which the key can't be read.
+/// @brief The form in which instances store the key of a caller: a keyed digest (BLAKE2b), from which the key
+/// can't be recovered.
 class key_digest
 {
   public:
@@ -19,28 +20,28 @@
 
     key_digest() = default;
 
-    /// @param secret the same on all instances, as @ref draw_key_secret made it
-    /// @param key as the caller shows it
+    /// @param secret a secret from @ref generate_key_secret that all instances share
+    /// @param key the key as the caller sent it
     key_digest(std::string_view secret, std::string_view key);
 
-    /// @brief Compares in constant time, so that how long it takes tells nothing of a digest.
+    /// @brief Compares in constant time, so that the duration reveals nothing about a digest.
     bool operator==(const key_digest& other) const noexcept;
 
     /// @return the bytes in hexadecimal
     std::string str() const;
 
-    /// @brief Reads what @ref str wrote.
-    /// @return false, and @a into is left as it is, for any other text
+    /// @brief Parses the output of @ref str.
+    /// @return false for any other text, which leaves @a output unchanged
     static bool parse(const std::string& text, key_digest& output);
 
-    /// @return some of its bits, for a hash table
+    /// @return a part of the digest as a hash for hash tables
     std::size_t hash() const noexcept;
 
   private:
     std::array<unsigned char, size> m_bytes{};
 };
 
-/// @return a new secret for @ref key_digest, from the system's source of randomness
+/// @return a new secret for @ref key_digest from the random number generator of the system
 std::string generate_key_secret();
 
 void to_json(nlohmann::json& j, const key_digest& value);
--- a/include/flaxtiller/teams/limit_message.hpp
+++ b/include/flaxtiller/teams/limit_message.hpp
@@ -11,7 +11,7 @@
 namespace flaxtiller
 {
 
-/// @brief Requests that an entry admitted for a team.
+/// @brief The number of requests that an entry admitted for a team.
 struct limit_usage
 {
     team_name team;
@@ -20,7 +20,7 @@
     bool operator==(const limit_usage&) const = default;
 };
 
-/// @brief A request that waits for the leader's word.
+/// @brief A request of a team that waits for the decision of the rate limit coordinator.
 struct limit_request
 {
     std::uint64_t number = 0;
@@ -29,12 +29,17 @@
     bool operator==(const limit_request&) const = default;
 };
 
-/// @brief From an entry to the control replica that keeps the limits: what it admitted, and what it asks for.
+/// @brief A report of an entry to the rate limit coordinator: the admitted requests, and requests that wait
+/// for a decision.
+///
+/// The rate limit coordinator is the control replica that accounts for the requests of all entries; see
+/// @ref rate_limit_coordinator.
 struct limit_report
 {
-    /// Named again by the answer; a report that isn't answered is sent again under another number.
+    /// Identifies the report in the answer. The content of an unanswered report is sent again in a report
+    /// with another number.
     std::uint64_t number = 0;
-    /// How many entries there are, as far as the sender knows; 0 where it doesn't.
+    /// The number of entries as known to the sender; 0 if unknown.
     int entries = 0;
     std::vector<limit_usage> usage;
     std::vector<limit_request> pending_requests;
@@ -42,33 +47,35 @@
     bool operator==(const limit_report&) const = default;
 };
 
-/// @brief The answer to one @ref limit_ask.
+/// @brief The answer to a @ref limit_request.
 struct limit_decision
 {
     std::uint64_t number = 0;
     bool granted = false;
-    /// Of a request that isn't granted: when the team's limit lets it through.
+    /// The time after which the limit has room for a request that was not granted.
     duration retry_after{};
 
     bool operator==(const limit_decision&) const = default;
 };
 
-/// @brief Whether a team has used up its limit.
+/// @brief The status of the limit of a team.
 struct limit_status
 {
     team_name team;
-    /// While it is, each request must be asked for.
+    /// Whether the team has used up its limit. Each further request then needs a decision of the rate limit
+    /// coordinator.
     bool limited = false;
-    /// Until then the leader has nothing to grant.
+    /// The time until the coordinator can grant the next request.
     duration exhausted_for{};
 
     bool operator==(const limit_status&) const = default;
 };
 
-/// @brief From the control replica that keeps the limits to an entry.
+/// @brief A message of the rate limit coordinator to an entry: the answer to a report, or a change of status
+/// that goes to all entries.
 struct limit_update
 {
-    /// The report that it answers; 0 for news to all entries.
+    /// The number of the answered report; 0 for a message to all entries.
     std::uint64_t number = 0;
     std::vector<limit_decision> request_decisions;
     std::vector<limit_status> statuses;
--- a/include/flaxtiller/teams/rate_limit.hpp
+++ b/include/flaxtiller/teams/rate_limit.hpp
@@ -5,12 +5,12 @@
 namespace flaxtiller
 {
 
-/// @brief How many requests a team may send, over all instances together.
+/// @brief The limit for the requests of a team over all instances together.
 struct rate_limit
 {
-    /// Zero for no limit.
+    /// The sustained rate; 0 for no limit.
     double requests_per_s = 0.0;
-    /// Requests that may come at once after a pause.
+    /// The number of requests that may arrive at once after a pause.
     double burst = 0.0;
 
     bool operator==(const rate_limit&) const = default;
@@ -22,8 +22,8 @@
     }
 };
 
-/// @brief By how much all instances together may exceed a limit: of what it allows in a window, a share and a
-/// number of requests more.
+/// @brief The tolerated excess over a limit for all instances together: in each window, a share of the
+/// allowed requests plus a fixed number of requests.
 struct rate_tolerance
 {
     duration window = duration::from_ms(5000);
@@ -32,13 +32,13 @@
 
     bool operator==(const rate_tolerance&) const = default;
 
-    /// @return the most requests of any window
+    /// @return the highest tolerated number of requests in any window
     double max_requests_per_window(const rate_limit& limit) const noexcept
     {
         return limit_per_window(limit) * (1.0 + overage) + slack;
     }
 
-    /// @return the requests of a window that the limit itself allows
+    /// @return the number of requests in a window that the limit allows without tolerance
     double limit_per_window(const rate_limit& limit) const noexcept
     {
         constexpr double ms_per_s = 1000.0;
--- a/include/flaxtiller/teams/rate_limiter.hpp
+++ b/include/flaxtiller/teams/rate_limiter.hpp
@@ -15,88 +15,92 @@
 namespace flaxtiller
 {
 
-/// @brief An entry's part in keeping the limits of teams over all entries; see @ref rate_ledger.
-/// Deterministic.
+/// @brief Enforces the limits of teams on an entry, together with the rate limit coordinator. Deterministic.
 ///
-/// A request of a team that is within its limit is admitted at once and reported to the control replica that
-/// keeps the limits. One of a limited team waits for that replica's word. An entry that gets no answer goes
-/// on for a moment with one request of each team, and after that with its part of the limit.
+/// The rate limit coordinator is the control replica that accounts for the requests of all entries; see
+/// @ref rate_limit_coordinator. A request of a team within its limit is admitted immediately and reported to
+/// the coordinator. A request of a limited team waits for the decision of the coordinator. Without an answer,
+/// the entry admits one further request of each team for a short time, and after that applies its local share
+/// of the limit.
 class rate_limiter
 {
   public:
-    /// An answer is awaited for this long: a way to another region and back, on a busy instance.
+    /// The time-out for an answer of the coordinator. It covers a round trip to another region on a busy
+    /// instance.
     static constexpr duration answer_timeout = duration::from_ms(150);
-    /// Requests that share a report; a keeper that hears of them this much later still stops a flood in time.
+    /// Requests within this time share a report. The delay is short enough for the coordinator to limit a
+    /// flood in time.
     static constexpr duration report_batch_window = duration::from_ms(20);
 
     enum class verdict
     {
         admitted,
         refused,
-        /// Wait for @ref take_decisions.
+        /// The request waits for the coordinator; @ref take_decisions returns the decision.
         awaiting_coordinator,
     };
 
-    /// @brief What becomes of one request, and by what it was decided.
+    /// @brief The decision on one request, and its basis.
     struct decision
     {
         std::uint64_t request = 0;
         team_name team;
         verdict what = verdict::admitted;
-        /// Of a refused one.
+        /// Applies to refused requests.
         duration retry_after{};
-        /// Whether no keeper's word decided it, but this entry's part of the limit.
+        /// Whether the local share of the limit was the basis, not the coordinator.
         bool decided_locally = false;
-        /// How long ago the keeper was heard of.
+        /// The time since the last contact with the coordinator.
         duration last_contact_ago{};
 
         bool operator==(const decision&) const = default;
     };
 
-    /// @param teams those whose standing is kept
-    /// @param entries the instances among which the limit is divided where no leader can be asked; 0 while
-    /// that isn't known
+    /// @brief Sets the teams and the number of entries.
+    /// @param teams the teams whose state is kept
+    /// @param entries the number of instances among which the limit is divided while the coordinator is
+    /// unavailable; 0 if unknown
     void configure(const shared_map<team_name, team>& teams, int entries);
 
-    /// @brief A request of a team with a limit.
+    /// @brief Decides on a request of a team that has a limit.
     decision admit(std::uint64_t request, const team& by, time_point now);
 
-    /// @brief The replica that keeps the limits lives, as far as can be told without asking it.
+    /// @brief Records a sign that the coordinator is available, other than an answer to a report.
     void on_coordinator_contact(time_point now) noexcept
     {
         m_last_contact_at = std::max(m_last_contact_at, now);
     }
 
-    /// @brief That replica's word.
+    /// @brief Handles a message of the coordinator.
     void on_limit_update(const limit_update& update, time_point now);
 
-    /// @brief Nobody waits for this request any more.
+    /// @brief Discards a request that no longer needs a decision.
     void cancel_request(std::uint64_t request);
 
-    /// @brief Time has passed.
+    /// @brief Handles expired time-outs.
     void on_time(time_point now);
 
-    /// @return what became of requests that waited
+    /// @brief Removes and returns the decisions on requests that waited.
     std::vector<decision> take_decisions();
 
-    /// @return what is to be sent to the keeper now
+    /// @return the report to send to the coordinator now, if any
     std::optional<limit_report> take_report(time_point now);
 
-    /// @return when @ref on_time and @ref take_report are next needed
+    /// @return the time of the next call of @ref on_time and @ref take_report that is needed
     time_point next_time() const noexcept;
 
-    /// @return whether a report was left unanswered for too long
+    /// @return whether the answer to a report is overdue
     bool is_coordinator_unavailable(time_point now) const noexcept;
 
   private:
     struct team_state
     {
-        /// Admitted, and not known to the keeper yet: to be reported, and reported.
+        /// The admitted requests that still have to be reported, and those reported without an answer yet.
         std::int64_t unreported = 0;
         std::int64_t unacknowledged = 0;
         bool limited = false;
         time_point exhausted_until{};
-        /// This entry's part of the limit.
+        /// The share of the limit that this entry applies while the coordinator is unavailable.
         token_bucket local_share;
     };
 
--- a/include/flaxtiller/teams/team.hpp
+++ b/include/flaxtiller/teams/team.hpp
@@ -15,30 +15,31 @@
 namespace flaxtiller
 {
 
-/// @brief Callers that share keys and a limit.
+/// @brief A group of callers that share keys and a rate limit.
 ///
-/// Control replicas hold the keys as the operator wrote them, since an operator gets back what was sent;
-/// entries get only @ref key_digests. See @ref without_keys.
+/// Control replicas store the keys in plain text, since an operator who reads the configuration gets back the
+/// keys that were written. Entries receive only @ref key_digests; see @ref without_keys.
 struct team
 {
     team_name name;
     std::vector<std::string> keys;
     std::vector<key_digest> key_digests;
-    /// Takes precedence over the priority of the route; 0 is the most urgent.
+    /// Takes precedence over the priority of the route; 0 is the highest priority.
     std::optional<int> priority;
     rate_limit limit;
-    /// Where its requests may be run and passed on to, beside what their route says.
+    /// The regions where requests of the team may be executed or forwarded to, in addition to the
+    /// restrictions of the route.
     region_set allowed_regions;
 
     bool operator==(const team&) const = default;
 
-    /// @return this team as entries know it: each key by its digest
+    /// @return a copy for entries, in which digests replace the keys
     team without_keys(const std::string& secret) const;
 };
 
 void to_json(nlohmann::json& j, const team& value);
 
-/// @brief Reads one team; every fault goes to the reader's findings, which never name a key.
+/// @brief Parses a team. Errors are added to the findings of the reader, which never contain a key.
 void read_item(json_reader& reader, team& into);
 
 } // namespace flaxtiller
--- a/include/flaxtiller/teams/team_table.hpp
+++ b/include/flaxtiller/teams/team_table.hpp
@@ -11,40 +11,40 @@
 namespace flaxtiller
 {
 
-/// @brief Who a caller is, by the key that it shows.
+/// @brief The identity of a caller, determined by its key.
 struct authentication
 {
-    /// Null for an anonymous caller.
+    /// The team of the caller; null for an anonymous caller.
     const team* by = nullptr;
     bool is_authorized = true;
 };
 
-/// @brief The teams of one revision, found by name and by key. Immutable.
+/// @brief An immutable index of the teams of one revision by name and by key.
 class team_table
 {
   public:
     team_table() = default;
 
-    /// @param secret see @ref key_digest
+    /// @param secret the secret of the key digests; see @ref key_digest
     team_table(const shared_map<team_name, team>& teams, std::string secret);
 
-    // Holds pointers into its own map.
+    // The key index points into the map of this object.
     team_table(const team_table&) = delete;
     team_table& operator=(const team_table&) = delete;
     ~team_table() = default;
 
-    /// @return the team, or null where there is none of this name
+    /// @return the team with this name, or null
     const team* find(const team_name& name) const;
 
     /// @return the team that holds this key, or null
     const team* find_by_key(std::string_view key) const;
 
-    /// @brief Decides who asks.
+    /// @brief Identifies and authorizes a caller.
     ///
-    /// Without any team nobody needs a key. A key that no team holds is refused also where none is needed:
-    /// it was withdrawn, or belongs elsewhere.
-    /// @param by the request's route; null where none fits, which needs a key as most routes do
-    /// @param key as the caller shows it; empty for none
+    /// If no team is configured, no request needs a key. A key that no team holds is refused even on routes
+    /// that allow anonymous callers, since the key was withdrawn or belongs to another system.
+    /// @param by the route of the request; null if no route matches, in which case a key is required
+    /// @param key the key as the caller sent it; empty for none
     authentication authenticate(const route* by, std::string_view key) const;
 
     const shared_map<team_name, team>& teams() const noexcept
--- a/src/teams/limit_message.cpp
+++ b/src/teams/limit_message.cpp
@@ -5,7 +5,7 @@
 namespace flaxtiller
 {
 
-// Lists, not objects: one of each goes with most requests.
+// Arrays are shorter than objects, and most requests cause one of each message.
 
 static void to_json(nlohmann::json& j, const limit_usage& value)
 {
--- a/src/teams/rate_limiter.cpp
+++ b/src/teams/rate_limiter.cpp
@@ -11,26 +11,29 @@
 namespace
 {
 
-/// Requests of one team that the keeper doesn't know of yet: while it lives, and for a moment where it
-/// doesn't answer. Callers of one team reach many entries, so that more would add up.
+/// The highest number of admitted requests of one team that the coordinator has not acknowledged: while it is
+/// available, and for a short time while it doesn't answer. Callers of one team reach many entries, so that
+/// higher numbers would add up to a large excess.
 constexpr std::int64_t max_unacknowledged_requests = 2;
 constexpr std::int64_t max_unacknowledged_without_answer = 1;
-/// Another replica keeps the limits within this.
+/// Another replica takes over as the coordinator within this time.
 constexpr duration brief_outage = duration::from_ms(3000);
-/// A keeper that wasn't heard of for this many reports may be gone: it is asked first.
+/// After this many report intervals without contact the coordinator may be unavailable, so that requests wait
+/// for its decision.
 constexpr double recent_contact_intervals = 1.6;
-/// Where nobody answers, entries use this share of the limit together: some may still reach a keeper.
+/// The share of the limit that all entries use together without an answer. The rest is left to entries that
+/// can still reach a coordinator.
 constexpr double local_limit_share = 0.5;
-/// While it isn't known how many entries there are.
+/// The assumed number of entries while it is unknown.
 constexpr int assumed_entries = 1000;
-/// A team's limit may be raised, or another replica keep it, before its tokens come back: the keeper is asked
-/// again after this.
+/// The longest time for which requests of an exhausted team are refused without asking the coordinator. The
+/// limit may be raised, or another replica take over as the coordinator, before the tokens return.
 constexpr duration max_exhausted_time = duration::from_ms(1000);
-/// Requests that wait for the keeper's word; more are refused.
+/// The highest number of requests that wait for the coordinator; further requests are refused.
 constexpr std::size_t max_waiting_requests = 1024;
-/// What no answer came to is reported again after this.
+/// Unanswered reports are sent again after this time.
 constexpr duration resend_after_timeout = duration::from_ms(1000);
-/// When to come back where nobody can tell when the limit has room: another replica keeps the limits within
+/// The retry time while the coordinator is unavailable. Another replica takes over as the coordinator within
 /// seconds.
 constexpr duration local_retry_after = duration::from_ms(500);
 
@@ -79,7 +82,7 @@
     schedule_report(now + report_batch_window);
 }
 
-/// @return how many requests of a team may be admitted without the keeper's knowledge
+/// @return the number of requests of a team that may be admitted without acknowledgement of the coordinator
 std::int64_t rate_limiter::max_unacknowledged(time_point now) const noexcept
 {
     const duration time_since_contact = now - m_last_contact_at;
@@ -174,7 +177,7 @@
                   });
 }
 
-/// A report to a keeper that is gone by now, or whose answer was lost: what it told is told again.
+/// Sends the content of reports again whose coordinator has been replaced or whose answer was lost.
 void rate_limiter::resend_unacknowledged(time_point now)
 {
     for (auto at = m_sent.begin(); at != m_sent.end();)
@@ -255,7 +258,7 @@
     time_point next = m_report_at;
     if (!m_waiting.empty())
     {
-        // In the order of their arrival.
+        // Requests are ordered by arrival, so that the first one expires first.
         next = std::min(next, m_waiting.begin()->second.since + answer_timeout);
     }
     if (!m_sent.empty())
--- a/tests/src/unit-team-limits.cpp
+++ b/tests/src/unit-team-limits.cpp
@@ -22,7 +22,7 @@
 {
     const char* name;
     scenario what;
-    /// Whether a leader can be asked all the while.
+    /// Whether the entries can reach a coordinator all the time.
     bool coordinator_reachable = true;
 };
 
@@ -94,7 +94,7 @@
 
 } // namespace
 
-TEST_CASE("the limit of a team holds over all entries, whatever happens to them", "[policy][teams]")
+TEST_CASE("the limit of a team holds over all entries, also during failures and restarts", "[policy][teams]")
 {
     const bool print = std::getenv("FLAXTILLER_PRINT") != nullptr;
     for (const int entries : {11, 85, 300, 995})
@@ -136,7 +136,7 @@
     }
 }
 
-TEST_CASE("an entry admits at once what is within the limit, and asks for the rest",
+TEST_CASE("an entry admits requests within the limit immediately and asks the coordinator about others",
           "[teams]")
 {
     rate_limiter limiter;
@@ -147,14 +147,14 @@
 
     CHECK(limiter.admit(1, by, at_ms(0)).what == verdict::admitted);
     CHECK(limiter.admit(2, by, at_ms(1)).what == verdict::admitted);
-    // Nobody knows of the first two yet.
+    // The coordinator has not acknowledged the first two requests.
     CHECK(limiter.admit(3, by, at_ms(2)).what == verdict::awaiting_coordinator);
     const auto report = limiter.take_report(at_ms(2));
     REQUIRE(report);
     CHECK(report->usage == std::vector<limit_usage>{{by.name, 2}});
     REQUIRE(report->pending_requests.size() == 1);
 
-    SECTION("what is granted is admitted, and what was reported is known")
+    SECTION("a granted request is admitted, and the answer acknowledges the reported requests")
     {
         limiter.on_limit_update(
             {report->number, {{report->pending_requests[0].number, true, {}}}, {{by.name, false, {}}}}, at_ms(20));
@@ -164,7 +164,7 @@
         CHECK(decisions[0].what == verdict::admitted);
         CHECK(limiter.admit(4, by, at_ms(21)).what == verdict::admitted);
     }
-    SECTION("what isn't granted is refused with the leader's word on when to come back")
+    SECTION("a request that isn't granted is refused with the coordinator's retry time")
     {
         const duration wait = duration::from_ms(300);
         limiter.on_limit_update(
@@ -173,11 +173,11 @@
         REQUIRE(decisions.size() == 1);
         CHECK(decisions[0].what == verdict::refused);
         CHECK(decisions[0].retry_after == wait);
-        // Until the leader has something again nobody is asked.
+        // Until the coordinator can grant again, requests are refused without a question.
         CHECK(limiter.admit(4, by, at_ms(100)).what == verdict::refused);
         CHECK(limiter.admit(5, by, at_ms(320)).what == verdict::awaiting_coordinator);
     }
-    SECTION("a leader that doesn't answer is waited for once")
+    SECTION("only one request waits for a coordinator that doesn't answer")
     {
         CHECK(limiter.next_time() <= at_ms(2) + rate_limiter::answer_timeout);
         limiter.on_time(at_ms(2) + rate_limiter::answer_timeout);
@@ -187,19 +187,19 @@
         CHECK(decisions[0].decided_locally);
         CHECK(limiter.is_coordinator_unavailable(at_ms(200)));
         CHECK(limiter.admit(4, by, at_ms(200)).what == verdict::refused);
-        // One of each other team goes on, for a moment.
+        // One request of each other team is still admitted for a short time.
         team other = by;
         other.name = team_name("other");
         CHECK(limiter.admit(5, other, at_ms(200)).what == verdict::admitted);
         CHECK(limiter.admit(6, other, at_ms(201)).what == verdict::refused);
-        // What it told isn't forgotten.
+        // The usage of the unanswered report is reported again.
         limiter.on_time(at_ms(1100));
         const auto again = limiter.take_report(at_ms(1100));
         REQUIRE(again);
         CHECK(again->usage == std::vector<limit_usage>{{other.name, 1}, {by.name, 2}});
         CHECK(again->number != report->number);
     }
-    SECTION("nobody waits any more")
+    SECTION("a cancelled request gets no decision")
     {
         limiter.cancel_request(3);
         limiter.on_time(at_ms(500));
@@ -207,7 +207,7 @@
     }
 }
 
-TEST_CASE("callers that are sent away are called back one after the other", "[teams]")
+TEST_CASE("refused requests get successive retry times", "[teams]")
 {
     rate_limit_coordinator ledger({duration::from_ms(5000), 0.0, 0.0});
     const team by = team_with_limit(2.0, 2.0);
@@ -224,12 +224,12 @@
     CHECK(retry_after_ms[1] - retry_after_ms[0] == Approx(500.0));
     CHECK(retry_after_ms[2] - retry_after_ms[1] == Approx(500.0));
     CHECK(ledger.has_status_updates());
-    // It comes true.
+    // A request at the assigned retry time is granted.
     const limit_update later = ledger.on_report({2, 0, {}, {{4, by.name}}}, at_ms(retry_after_ms[0] + 1.0));
     CHECK(later.request_decisions.at(0).granted);
 }
 
-TEST_CASE("a request is admitted before anything else of it is decided", "[teams]")
+TEST_CASE("requests are authenticated before any other decision", "[teams]")
 {
     team known = team_with_limit(1000.0, 1000.0);
     known.keys = {"right-key"};
@@ -282,14 +282,14 @@
     CHECK(is_unauthorized("/nowhere/x", ""));
     CHECK(team_of("/nowhere/x", "right-key") == known.name);
 
-    SECTION("a key that is withdrawn is refused from then on")
+    SECTION("a withdrawn key is refused")
     {
         known.keys.clear();
         view.teams = std::make_shared<const team_table>(teams_of(known.without_keys(secret)), secret);
         admission.configure(view);
         CHECK(is_unauthorized("/closed/x", "right-key"));
     }
-    SECTION("without teams nobody needs a key, and none is looked at")
+    SECTION("without teams no request needs a key, and keys are ignored")
     {
         view.teams = std::make_shared<const team_table>();
         admission.configure(view);
--- a/tests/src/unit-teams.cpp
+++ b/tests/src/unit-teams.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("entries get digests of keys, operators what they sent", "[teams]")
+TEST_CASE("entries receive digests of keys, and operators read back the keys they wrote", "[teams]")
 {
     catalog_state state;
     const json teams = {team_document("a", {"key-one", "key-two"}), team_document("b", {"key-three"})};
@@ -58,7 +58,7 @@
     CHECK(table.find(team_name("a"))->allowed_regions.allows("east"));
     CHECK_FALSE(table.find(team_name("a"))->allowed_regions.allows("west"));
 
-    SECTION("the whole document and a patch give an entry the same")
+    SECTION("the full document and a patch give an entry the same configuration")
     {
         findings found;
         CHECK(parse_configuration(document, found) == published);
@@ -75,7 +75,7 @@
         CHECK(moved.find_by_key("key-one")->name == team_name("c"));
         CHECK(moved.find_by_key("key-three") == nullptr);
     }
-    SECTION("the secret stays for all later revisions, so that digests compare")
+    SECTION("later revisions keep the secret, so that digests stay comparable")
     {
         const std::string secret = state.current().key_secret;
         CHECK_FALSE(secret.empty());
@@ -84,13 +84,13 @@
         CHECK(state.current().key_secret == secret);
         CHECK(is_known(state.current().without_keys(), "key-one"));
     }
-    SECTION("it survives a snapshot")
+    SECTION("the configuration is unchanged after a snapshot is restored")
     {
         CHECK(catalog_state::deserialize(state.serialize()).current() == state.current());
     }
 }
 
-TEST_CASE("a key that two teams have is refused with both names and not told", "[teams]")
+TEST_CASE("a key of two teams is refused with both team names but without the key", "[teams]")
 {
     catalog_state state;
     const json teams = {team_document("a", {"own", "shared-key"}), team_document("b", {"shared-key"})};
@@ -103,7 +103,7 @@
     CHECK(state.revision() == 0);
 }
 
-TEST_CASE("findings on a team tell the place and never the key", "[teams]")
+TEST_CASE("findings on a team contain the location and never the key", "[teams]")
 {
     const auto text_of = [](const json& item)
     {
@@ -114,39 +114,39 @@
         return found.to_text();
     };
     json bad = team_document("a", {"secret-key"});
-    SECTION("an empty key")
+    SECTION("an empty key is an error")
     {
         bad["keys"].push_back("");
         CHECK(text_of(bad).find("/teams/0/keys/1") != std::string::npos);
     }
-    SECTION("keys of another type")
+    SECTION("a key that isn't a string is an error")
     {
         bad["keys"].push_back(3);
         CHECK(text_of(bad).find("/teams/0/keys") != std::string::npos);
     }
-    SECTION("a negative rate")
+    SECTION("a negative rate is an error")
     {
         bad["requests_per_s"] = -1;
         CHECK(text_of(bad).find("/teams/0/requests_per_s") != std::string::npos);
     }
-    SECTION("no name")
+    SECTION("a missing name is an error")
     {
         bad.erase("name");
         CHECK(text_of(bad).find("/teams/0/name") != std::string::npos);
     }
-    SECTION("an empty list of regions")
+    SECTION("an empty list of regions is an error")
     {
         bad["allowed_regions"] = json::array();
         CHECK(text_of(bad).find("/teams/0/allowed_regions") != std::string::npos);
     }
-    SECTION("something unknown")
+    SECTION("an unknown field is an error")
     {
         bad["secret"] = "secret-key";
         CHECK(text_of(bad).find("/teams/0/secret") != std::string::npos);
     }
 }
 
-TEST_CASE("the platform's tenants come back as they were sent", "[teams][platform]")
+TEST_CASE("tenants of the platform are read back as they were written", "[teams][platform]")
 {
     const json document = json::parse(R"({"version":3,
         "routes":[{"name":"r","host":"h","pathPrefix":"/a/","type":"safe","timeoutMs":500,"targetLatencyMs":80,
@@ -173,7 +173,7 @@
         change refused = platform::read_configuration(shared.dump(), found);
         CHECK(state.apply(refused).status == change_status::invalid);
     }
-    SECTION("tenants of another type are refused")
+    SECTION("tenants that aren't a list are refused")
     {
         json bad = document;
         bad["tenants"] = 3;
@@ -182,7 +182,7 @@
     }
 }
 
-TEST_CASE("a caller's key goes no further, and its team is what the entry found", "[teams]")
+TEST_CASE("a caller's key isn't forwarded, and its team is the one that the entry determined", "[teams]")
 {
     const shell::routed_codec codec(platform::header_names());
     shell::http_request request;
@@ -208,7 +208,7 @@
     CHECK(sent.headers.find("X-Api-Key") == nullptr);
     CHECK(sent.headers.value("X-Tenant-Id") == "ta");
 
-    SECTION("an anonymous caller has none")
+    SECTION("the request of an anonymous caller names no team")
     {
         read->team = team_name();
         attempt.sent = std::make_shared<const routed_request>(*read);
