--- a/include/flaxtiller/registration/registration_publisher.hpp
+++ b/include/flaxtiller/registration/registration_publisher.hpp
@@ -119,7 +119,7 @@
                       std::vector<outgoing>& output);
     void send_to_non_followers(const receivers& to, std::vector<outgoing>& output);
     void send_full_list(const std::set<std::string>& reachable, std::size_t known, time_point now,
-                    std::vector<outgoing>& output);
+                        std::vector<outgoing>& output);
 
     std::set<std::string> m_replicas;
     /// The changes that came directly from backend servers, and all changes; the time at which they are due,
--- a/include/flaxtiller/registration/warmup_tracker.hpp
+++ b/include/flaxtiller/registration/warmup_tracker.hpp
@@ -43,7 +43,7 @@
     /// @param services the services of the configuration in force
     /// @complexity O(registered)
     void on_zones_restored(const std::set<std::string>& zones, const std::vector<registration>& registered,
-                       const std::map<service_name, service>& services, time_point now);
+                           const std::map<service_name, service>& services, time_point now);
 
     /// @return the backend servers that are cold now; the same object as before if nothing has changed
     const shared_value<cold_servers>& current(time_point now);
--- a/src/registration/live_placement.cpp
+++ b/src/registration/live_placement.cpp
@@ -7,10 +7,10 @@
                                const std::vector<registration>& registered)
 {
     // Most configuration changes affect routes only, which leaves the placement as it is.
-    const bool same_placement_input = !m_services.empty() && value.services == m_services &&
-                              value.placement_rules == m_rules && value.backend_servers == m_declared &&
-                              value.evacuated_zones == m_evacuated_zones &&
-                              value.instances == m_current->instances;
+    const bool same_placement_input =
+        !m_services.empty() && value.services == m_services && value.placement_rules == m_rules &&
+        value.backend_servers == m_declared && value.evacuated_zones == m_evacuated_zones &&
+        value.instances == m_current->instances;
     if (same_placement_input)
     {
         m_placer.set_revision(revision);
--- a/src/registration/registration_publisher.cpp
+++ b/src/registration/registration_publisher.cpp
@@ -50,7 +50,7 @@
 }
 
 bool registration_publisher::on_digest(const std::string& from, std::uint64_t digest, std::uint64_t own,
-                                    time_point now)
+                                       time_point now)
 {
     const bool replica = m_replicas.count(from) > 0;
     if (!replica)
@@ -125,7 +125,7 @@
 }
 
 registration_publisher::receivers registration_publisher::sort(const std::set<std::string>& reachable,
-                                                         time_point now) const
+                                                               time_point now) const
 {
     receivers sorted;
     for (const std::string& peer : reachable)
@@ -148,8 +148,8 @@
     return sorted;
 }
 
-std::vector<registration_publisher::outgoing> registration_publisher::take(
-    const std::set<std::string>& reachable, std::size_t known, time_point now)
+std::vector<registration_publisher::outgoing>
+registration_publisher::take(const std::set<std::string>& reachable, std::size_t known, time_point now)
 {
     std::vector<outgoing> messages;
     const receivers to = sort(reachable, now);
@@ -170,15 +170,15 @@
 }
 
 void registration_publisher::send_changes(const receivers& to, bool replica_unreachable, time_point now,
-                                 std::vector<outgoing>& output)
+                                          std::vector<outgoing>& output)
 {
     m_changes_due_at = time_point::never();
     m_changes_paused_until = now + pause_per_receiver * static_cast<double>(to.followers.size());
     if (replica_unreachable)
     {
         // The digests reveal changes beyond this limit once the replicas have a link again.
-        const std::size_t room = max_items_to_non_followers -
-                                 std::min(m_non_follower_changes.size(), max_items_to_non_followers);
+        const std::size_t room =
+            max_items_to_non_followers - std::min(m_non_follower_changes.size(), max_items_to_non_followers);
         const auto taken = static_cast<std::ptrdiff_t>(std::min(room, m_all_changes.size()));
         m_non_follower_changes.insert(m_non_follower_changes.end(), m_all_changes.begin(),
                                       m_all_changes.begin() + taken);
@@ -208,7 +208,7 @@
 }
 
 void registration_publisher::send_full_list(const std::set<std::string>& reachable, std::size_t known,
-                                     time_point now, std::vector<outgoing>& output)
+                                            time_point now, std::vector<outgoing>& output)
 {
     outgoing message;
     message.whole = true;
--- a/src/registration/registry.cpp
+++ b/src/registration/registry.cpp
@@ -233,9 +233,8 @@
                   [&](const auto& entry)
                   {
                       const registered_server& item = entry.second;
-                      const bool gone =
-                          item.report.state == registration_state::gone &&
-                          now - item.gone_at > gone_retention;
+                      const bool gone = item.report.state == registration_state::gone &&
+                                        now - item.gone_at > gone_retention;
                       const bool lost = item.report.state == registration_state::lost &&
                                         now - item.last_heartbeat_at > silence + gone_retention;
                       return gone || lost;
--- a/src/registration/warmup_tracker.cpp
+++ b/src/registration/warmup_tracker.cpp
@@ -25,8 +25,8 @@
 }
 
 void warmup_tracker::on_zones_restored(const std::set<std::string>& zones,
-                                   const std::vector<registration>& registered,
-                                   const std::map<service_name, service>& services, time_point now)
+                                       const std::vector<registration>& registered,
+                                       const std::map<service_name, service>& services, time_point now)
 {
     for (const registration& item : registered)
     {
@@ -47,10 +47,10 @@
 const shared_value<cold_servers>& warmup_tracker::current(time_point now)
 {
     const auto expired = std::erase_if(m_cold,
-                                    [&](const auto& item)
-                                    {
-                                        return item.second.until <= now;
-                                    });
+                                       [&](const auto& item)
+                                       {
+                                           return item.second.until <= now;
+                                       });
     if (!m_is_current || expired > 0)
     {
         m_current = m_cold;
--- a/src/shell/registration_hub.cpp
+++ b/src/shell/registration_hub.cpp
@@ -150,7 +150,8 @@
     {
         return;
     }
-    for (registration_publisher::outgoing& message : m_spread.take(m_links.reachable(), m_registry.size(), now))
+    for (registration_publisher::outgoing& message :
+         m_spread.take(m_links.reachable(), m_registry.size(), now))
     {
         const bool settled = message.whole && is_settled(now);
         registration_update update{settled, std::move(message.changes), settled};
--- a/src/teams/rate_limiter.cpp
+++ b/src/teams/rate_limiter.cpp
@@ -60,7 +60,7 @@
 }
 
 rate_limiter::decision rate_limiter::make_decision(std::uint64_t request, const team_name& team, verdict what,
-                                          time_point now) const
+                                                   time_point now) const
 {
     return {request, team, what, {}, false, now - m_last_contact_at};
 }
@@ -120,7 +120,7 @@
 }
 
 rate_limiter::decision rate_limiter::decide_locally(std::uint64_t request, const team_name& team,
-                                                  team_state& item, time_point now)
+                                                    team_state& item, time_point now)
 {
     decision local = make_decision(request, team, verdict::refused, now);
     local.decided_locally = true;
--- a/tests/src/unit-link-message.cpp
+++ b/tests/src/unit-link-message.cpp
@@ -96,7 +96,8 @@
         const registration_update got = received(update);
         CHECK(got.whole);
         CHECK(got.items == update.items);
-        CHECK(received(registration_heard{{{said.id, 5, 7}}}).items.at(0) == heartbeat_receipt{said.id, 5, 7});
+        CHECK(received(registration_heard{{{said.id, 5, 7}}}).items.at(0) ==
+              heartbeat_receipt{said.id, 5, 7});
         CHECK(received(registration_digest{~std::uint64_t{0}}).digest == ~std::uint64_t{0});
     }
     SECTION("processes")
--- a/tests/src/unit-live-placement.cpp
+++ b/tests/src/unit-live-placement.cpp
@@ -71,8 +71,8 @@
                     registered("b", 0, registration_state::gone)});
         live_placement recomputed;
         recomputed.configure(7, value,
-                       {registered("a", 1, registration_state::ready),
-                        registered("c", 1, registration_state::draining)});
+                             {registered("a", 1, registration_state::ready),
+                              registered("c", 1, registration_state::draining)});
         CHECK(*live.current() == *recomputed.current());
         CHECK(live.current()->services.at(service_name("s1"))->shards[0][1].leaving);
     }
--- a/tests/src/unit-registration.cpp
+++ b/tests/src/unit-registration.cpp
@@ -8,7 +8,7 @@
 {
 
 registration report_of(const std::string& id, std::int64_t sequence,
-                     registration_state state = registration_state::ready)
+                       registration_state state = registration_state::ready)
 {
     registration report;
     report.id = backend_server_name(id);
--- a/tests/src/unit-team-limits.cpp
+++ b/tests/src/unit-team-limits.cpp
@@ -123,7 +123,8 @@
                 std::cout << entries << " | " << item.name << " | " << worst.fullest_window << " | "
                           << worst.refused_below << " | " << worst.messages_per_s << " | "
                           << worst.mean_wait_ms << " | n-th: " << worst_divided.fullest_window << " | "
-                          << worst_divided.refused_below << " | whole: " << worst_without_division.fullest_window << " | "
+                          << worst_divided.refused_below
+                          << " | whole: " << worst_without_division.fullest_window << " | "
                           << worst_without_division.refused_below << "\n";
             }
             INFO(item.name << " at " << entries << " entries");
@@ -157,7 +158,8 @@
     SECTION("a granted request is admitted, and the answer acknowledges the reported requests")
     {
         limiter.on_limit_update(
-            {report->number, {{report->pending_requests[0].number, true, {}}}, {{by.name, false, {}}}}, at_ms(20));
+            {report->number, {{report->pending_requests[0].number, true, {}}}, {{by.name, false, {}}}},
+            at_ms(20));
         const auto decisions = limiter.take_decisions();
         REQUIRE(decisions.size() == 1);
         CHECK(decisions[0].request == 3);
@@ -168,7 +170,8 @@
     {
         const duration wait = duration::from_ms(300);
         limiter.on_limit_update(
-            {report->number, {{report->pending_requests[0].number, false, wait}}, {{by.name, true, wait}}}, at_ms(20));
+            {report->number, {{report->pending_requests[0].number, false, wait}}, {{by.name, true, wait}}},
+            at_ms(20));
         const auto decisions = limiter.take_decisions();
         REQUIRE(decisions.size() == 1);
         CHECK(decisions[0].what == verdict::refused);
--- a/tests/src/unit-teams.cpp
+++ b/tests/src/unit-teams.cpp
@@ -31,9 +31,9 @@
     return wanted;
 }
 
-bool is_known(const configuration& published, const std::string& key)
+bool is_known(const configuration& entry_configuration, const std::string& key)
 {
-    return team_table(published.teams, published.key_secret).find_by_key(key) != nullptr;
+    return team_table(entry_configuration.teams, entry_configuration.key_secret).find_by_key(key) != nullptr;
 }
 
 } // namespace
--- a/tests/src/unit-warmup.cpp
+++ b/tests/src/unit-warmup.cpp
@@ -335,7 +335,7 @@
         declared.name = service_name("s");
         declared.warmup = duration::from_ms(3000);
         tracker.on_zones_restored({"z"}, {said_by("b", 0.0), said_by("c", 0.0, "other")},
-                              {{declared.name, declared}}, now);
+                                  {{declared.name, declared}}, now);
         CHECK(is_cold("b"));
         CHECK_FALSE(is_cold("c"));
         now = now + duration::from_ms(3000);
