--- a/include/flaxtiller/registration/registry.hpp
+++ b/include/flaxtiller/registration/registry.hpp
@@ -62,8 +62,8 @@
     bool mark_unlisted_lost(const std::vector<registration>& all, time_point now);
 
     /// @brief Adds the registrations that a previous run of this process stored, except for ids that are
-    /// known already. They stay unconfirmed until another report or receipt arrives; @ref
-    /// mark_unconfirmed_lost marks those lost that are never confirmed.
+    /// known already. They stay unconfirmed until another report or receipt arrives;
+    /// @ref mark_unconfirmed_lost marks those lost that are never confirmed.
     /// @return the number of added registrations
     std::size_t restore(const std::vector<registration>& restored, time_point now);
 
--- a/include/flaxtiller/teams/rate_limit_coordinator.hpp
+++ b/include/flaxtiller/teams/rate_limit_coordinator.hpp
@@ -18,8 +18,8 @@
 /// The requests of a team within its limit are not delayed: entries admit them and report the number of
 /// admitted requests, which this class takes from a token bucket per team. When the tokens of a team are used
 /// up, the replica notifies all entries, and each further request needs a decision of this replica. The sum
-/// of the requests thus keeps to the limit, whichever entries the callers of the team reach. The class @ref
-/// rate_limiter is the counterpart on an entry.
+/// of the requests therefore stays within the limit, whichever entries the callers of the team reach.
+/// @ref rate_limiter is the counterpart on an entry.
 ///
 /// A fixed share of the limit per entry isn't an alternative: with many entries it would be less than one
 /// request per entry, while a team may send many times its usual rate through all entries at once.
--- a/src/teams/rate_limiter.cpp
+++ b/src/teams/rate_limiter.cpp
@@ -23,7 +23,7 @@
 constexpr double recent_contact_intervals = 1.6;
 /// The share of the limit that all entries use together without an answer. The rest is left to entries that
 /// can still reach a coordinator.
-constexpr double local_limit_share = 0.5;
+constexpr double combined_local_share = 0.5;
 /// The assumed number of entries while it is unknown.
 constexpr int assumed_entries = 1000;
 /// The longest time for which requests of an exhausted team are refused without asking the coordinator. The
@@ -68,7 +68,7 @@
 void rate_limiter::update_local_share(team_state& item, const rate_limit& limit, time_point now) const
 {
     const double entries = m_entries > 0 ? m_entries : assumed_entries;
-    item.local_share.limit(limit.requests_per_s * local_limit_share / entries, 1.0, now);
+    item.local_share.limit(limit.requests_per_s * combined_local_share / entries, 1.0, now);
 }
 
 void rate_limiter::schedule_report(time_point at) noexcept
--- a/tests/src/unit-team-limits.cpp
+++ b/tests/src/unit-team-limits.cpp
@@ -21,7 +21,7 @@
 struct named_scenario
 {
     const char* name;
-    scenario what;
+    scenario settings;
     /// Whether the entries can reach a coordinator all the time.
     bool coordinator_reachable = true;
 };
@@ -32,8 +32,8 @@
     const auto add = [&](const char* name, bool coordinator_reachable) -> scenario&
     {
         all.push_back({name, {}, coordinator_reachable});
-        all.retry_after_ms().what.entries = entries;
-        return all.retry_after_ms().what;
+        all.back().settings.entries = entries;
+        return all.back().settings;
     };
     add("usual", true);
     add("small team", true).limit = {0.5, 1.0};
@@ -113,10 +113,10 @@
             };
             for (std::uint32_t seed = 1; seed <= seeds; ++seed)
             {
-                item.what.seed = seed;
-                add(worst, play_account(item.what));
-                add(worst_divided, play_shares(item.what, false));
-                add(worst_without_division, play_shares(item.what, true));
+                item.settings.seed = seed;
+                add(worst, play_account(item.settings));
+                add(worst_divided, play_shares(item.settings, false));
+                add(worst_without_division, play_shares(item.settings, true));
             }
             if (print)
             {
