--- a/include/flaxtiller/coordinator/action.hpp
+++ b/include/flaxtiller/coordinator/action.hpp
@@ -9,35 +9,35 @@
 namespace flaxtiller
 {
 
-/// @brief Ask another instance to run subqueries.
-struct ask_peer
+/// @brief Sends subqueries to another instance, which executes them.
+struct delegate_to_peer
 {
     instance_name peer;
     std::vector<peer_subquery> subqueries;
 };
 
-/// @brief Send results to the instance that asked.
-struct answer_peer
+/// @brief Sends results of delegated subqueries to the instance that delegated them.
+struct send_results_to_peer
 {
     instance_name peer;
     std::vector<peer_result> results;
 };
 
-/// @brief Tell another instance that nobody waits for these any more.
-struct abandon_at_peer
+/// @brief Notifies another instance that the results of delegated subqueries are no longer needed.
+struct abandon_delegated
 {
     instance_name peer;
     std::vector<std::uint64_t> numbers;
 };
 
-/// @brief Ask the register whether this request may be run.
+/// @brief Asks the register whether a request that must not be repeated may be executed.
 struct register_begin
 {
     query_id query = 0;
     query_request request;
 };
 
-/// @brief Record what became of a request; the caller is answered afterwards.
+/// @brief Records the outcome of a request in the register. The caller gets the answer afterwards.
 struct register_finish
 {
     query_id query = 0;
@@ -45,15 +45,16 @@
     query_answer answer;
 };
 
-/// @brief Answer the caller.
+/// @brief Sends the answer of a query to the caller.
 struct answer_caller
 {
     query_id query = 0;
     query_answer answer;
 };
 
+/// @brief An action that a @ref service_coordinator decided on and that its owner executes.
 using coordinator_action =
-    std::variant<dispatch::start_attempt, dispatch::cancel_attempt, ask_peer, answer_peer, abandon_at_peer,
-                 register_begin, register_finish, answer_caller>;
+    std::variant<dispatch::start_attempt, dispatch::cancel_attempt, delegate_to_peer, send_results_to_peer,
+                 abandon_delegated, register_begin, register_finish, answer_caller>;
 
 } // namespace flaxtiller
--- a/include/flaxtiller/coordinator/event.hpp
+++ b/include/flaxtiller/coordinator/event.hpp
@@ -16,23 +16,23 @@
 namespace flaxtiller
 {
 
-/// @brief Identity of a query within one entry instance.
+/// @brief Identifies a query within one entry instance.
 using query_id = std::uint64_t;
 
-/// @brief A new revision is in force.
+/// @brief The placement of a new revision became active.
 struct placement_changed
 {
     std::shared_ptr<const placement> placed;
 };
 
-/// @brief Another instance can be reached, or not any more.
+/// @brief Another instance became reachable or unreachable.
 struct peer_reachable
 {
     instance_name peer;
     bool reachable = false;
 };
 
-/// @brief A caller asks.
+/// @brief A query of a caller arrived.
 struct query_arrived
 {
     query_id query = 0;
@@ -46,54 +46,55 @@
     dispatch::attempt_result result;
 };
 
-/// @brief Another instance asks this one to run subqueries.
-struct peer_asked
+/// @brief Another instance delegated subqueries to this one.
+struct peer_delegated
 {
     instance_name peer;
     std::vector<peer_subquery> subqueries;
 };
 
-/// @brief Another instance has results of what it was asked.
+/// @brief Another instance returned results of delegated subqueries.
 struct peer_answered
 {
     instance_name peer;
     std::vector<peer_result> results;
 };
 
-/// @brief Another instance no longer waits for what it asked.
+/// @brief Another instance no longer needs the results of subqueries that it delegated.
 struct peer_abandoned
 {
     instance_name peer;
     std::vector<std::uint64_t> numbers;
 };
 
-/// @brief The register answered a begin.
+/// @brief The register answered a @ref register_begin.
 struct register_began
 {
     query_id query = 0;
     register_reply reply;
 };
 
-/// @brief The register recorded an outcome, or couldn't be reached.
+/// @brief The register recorded an outcome or was unreachable.
 struct register_finished
 {
     query_id query = 0;
 };
 
-/// @brief The platform's list tells of a backend server.
+/// @brief The backend server list of the platform states whether a backend server is leaving.
 struct listed
 {
     backend_server_name server;
     bool leaving = false;
 };
 
-/// @brief Time has passed.
+/// @brief A timer expired, or time passed without another event.
 struct time_passed
 {
 };
 
+/// @brief An input of a @ref service_coordinator.
 using coordinator_event =
-    std::variant<placement_changed, peer_reachable, query_arrived, attempt_ended, peer_asked, peer_answered,
-                 peer_abandoned, register_began, register_finished, listed, time_passed>;
+    std::variant<placement_changed, peer_reachable, query_arrived, attempt_ended, peer_delegated,
+                 peer_answered, peer_abandoned, register_began, register_finished, listed, time_passed>;
 
 } // namespace flaxtiller
--- a/include/flaxtiller/coordinator/event_codec.hpp
+++ b/include/flaxtiller/coordinator/event_codec.hpp
@@ -8,7 +8,7 @@
 {
 
 /// @return the event as JSON, for a trace
-nlohmann::json event_to_json(const coordinator_event& happened);
+nlohmann::json event_to_json(const coordinator_event& new_event);
 
 /// @brief Reads an event of a trace.
 /// @throw nlohmann::json::exception if it is malformed
--- a/include/flaxtiller/coordinator/peer_message.hpp
+++ b/include/flaxtiller/coordinator/peer_message.hpp
@@ -19,7 +19,7 @@
     int shard = 0;
     index_version version;
     /// Time left when it was sent; moments of different instances aren't comparable.
-    duration left{};
+    duration time_left{};
     bool repeatable = true;
     /// What to send to the backend server; subqueries of one query share it, also on the wire.
     std::shared_ptr<const std::string> body;
@@ -40,6 +40,7 @@
 void from_json(const nlohmann::json& j, duration& value);
 void to_json(nlohmann::json& j, const subquery_result& value);
 void from_json(const nlohmann::json& j, subquery_result& value);
+
 /// @return the subqueries as JSON, each different body once
 nlohmann::json subqueries_to_json(const std::vector<peer_subquery>& subqueries);
 
--- a/include/flaxtiller/coordinator/replay.hpp
+++ b/include/flaxtiller/coordinator/replay.hpp
@@ -13,8 +13,8 @@
 {
     std::size_t events = 0;
     /// Answers that the trace states, and how many of them came out the same.
-    std::size_t stated = 0;
-    std::size_t matching = 0;
+    std::size_t expected_answers = 0;
+    std::size_t matching_answers = 0;
     /// Malformed lines, and answers that differ, each with its line.
     findings found;
 };
--- a/include/flaxtiller/coordinator/service_coordinator.hpp
+++ b/include/flaxtiller/coordinator/service_coordinator.hpp
@@ -25,21 +25,22 @@
     {
         dispatch::scheduler_options scheduling;
         /// Kept back from the deadline for each hop there and back.
-        duration way_there_and_back = duration::from_ms(2);
+        duration round_trip_reserve = duration::from_ms(2);
         /// Queries under way in this instance for this service; one more is refused.
-        std::size_t most_queries = 10000;
+        std::size_t max_open_queries = 10000;
         /// How long a peer's word on its queues counts.
-        duration wait_age = duration::from_ms(500);
+        duration peer_wait_validity = duration::from_ms(500);
         /// How long an answer waits for the register to record it, at most, beyond the deadline never.
-        duration record_bound = duration::from_ms(1000);
+        duration record_timeout = duration::from_ms(1000);
     };
 
     /// @param self this instance
     /// @param first_serial numbers of queries start here; must differ from run to run of the same instance
-    service_coordinator(instance_name self, service_name service, options limits, std::uint64_t first_serial);
+    service_coordinator(instance_name self, service_name service, options settings,
+                        std::uint64_t first_serial);
 
     /// @brief Takes in what happened at @a now.
-    void handle(const coordinator_event& happened, time_point now);
+    void handle(const coordinator_event& new_event, time_point now);
 
     /// @return what must be done now, in this order
     std::vector<coordinator_action> take_actions();
@@ -69,7 +70,7 @@
     };
 
     /// Where a subquery of the local scheduler comes from.
-    struct origin
+    struct subquery_origin
     {
         query_id query = 0;
         instance_name peer;
@@ -78,7 +79,7 @@
         std::shared_ptr<const std::string> body;
     };
 
-    struct remote_part
+    struct delegated_part
     {
         query_id query = 0;
         instance_name owner;
@@ -88,14 +89,14 @@
     struct peer_wait
     {
         duration wait{};
-        time_point heard_at{};
+        time_point received_at{};
     };
 
     void on(const placement_changed& event, time_point now);
     void on(const peer_reachable& event, time_point now);
     void on(const query_arrived& event, time_point now);
     void on(const attempt_ended& event, time_point now);
-    void on(const peer_asked& event, time_point now);
+    void on(const peer_delegated& event, time_point now);
     void on(const peer_answered& event, time_point now);
     void on(const peer_abandoned& event, time_point now);
     void on(const register_began& event, time_point now);
@@ -104,19 +105,19 @@
     void on(const time_passed& event, time_point now);
 
     void expire(time_point now);
-    void refuse(const query_arrived& event, errc why, duration retry_after);
+    void refuse(const query_arrived& event, errc error, duration retry_after);
     std::vector<int> shards_of(const query_request& request) const;
     bool shards_known(const query_request& request) const;
     duration longest_wait(const std::vector<int>& shards, time_point now) const;
     void run(query_id id, open_query& query, time_point now);
     void send_parts(query_id id, open_query& query, time_point now);
     void route(query_id id, const open_query& query, const query_execution::part& part, time_point now);
-    void route_local(const origin& from, const query_execution::part& part, time_point deadline,
+    void route_local(const subquery_origin& from, const query_execution::part& part, time_point deadline,
                      time_point now);
-    void part_over(query_id id, std::uint64_t number, const subquery_result& result, time_point now);
-    void drop_parts(const std::vector<std::uint64_t>& numbers, time_point now);
-    void settle(query_id id, open_query& query, time_point now);
-    void tell(query_id id, query_answer answer);
+    void on_part_result(query_id id, std::uint64_t number, const subquery_result& result, time_point now);
+    void cancel_parts(const std::vector<std::uint64_t>& numbers, time_point now);
+    void finish_if_complete(query_id id, open_query& query, time_point now);
+    void answer_query(query_id id, query_answer answer);
     void collect_scheduler_actions(time_point now);
     void rank_owners();
 
@@ -135,16 +136,16 @@
     std::unordered_map<query_id, open_query> m_queries;
     std::set<std::pair<time_point, query_id>> m_deadlines;
     /// Given up before the register answered their begin.
-    std::unordered_map<query_id, query_request> m_late_begins;
-    std::unordered_map<dispatch::subquery_id, origin> m_origins;
-    std::unordered_map<std::uint64_t, remote_part> m_remote;
+    std::unordered_map<query_id, query_request> m_abandoned_begins;
+    std::unordered_map<dispatch::subquery_id, subquery_origin> m_subquery_origins;
+    std::unordered_map<std::uint64_t, delegated_part> m_delegated;
     /// Local parts, to abandon them by number.
-    std::unordered_map<std::uint64_t, dispatch::subquery_id> m_local;
-    std::map<std::pair<instance_name, std::uint64_t>, dispatch::subquery_id> m_for_peers;
+    std::unordered_map<std::uint64_t, dispatch::subquery_id> m_local_parts;
+    std::map<std::pair<instance_name, std::uint64_t>, dispatch::subquery_id> m_peer_subqueries;
     std::map<int, peer_wait> m_peer_waits;
-    std::map<instance_name, ask_peer> m_asks;
-    std::map<instance_name, answer_peer> m_answers;
-    std::map<instance_name, abandon_at_peer> m_abandons;
+    std::map<instance_name, delegate_to_peer> m_delegations;
+    std::map<instance_name, send_results_to_peer> m_results_for_peers;
+    std::map<instance_name, abandon_delegated> m_abandoned_for_peers;
     std::vector<coordinator_action> m_actions;
 };
 
--- a/src/command/replay.cpp
+++ b/src/command/replay.cpp
@@ -26,7 +26,8 @@
     }
     const replay_report report = replay(trace);
     fmt::print("{}", report.found.to_text());
-    fmt::print("{} events, {} answers stated, {} as stated\n", report.events, report.stated, report.matching);
+    fmt::print("{} events, {} answers stated, {} as stated\n", report.events, report.expected_answers,
+               report.matching_answers);
     return report.found.has_errors() ? refused : success;
 }
 
--- a/src/coordinator/event_codec.cpp
+++ b/src/coordinator/event_codec.cpp
@@ -59,9 +59,9 @@
 nlohmann::json placed_to_json(const placement& placed)
 {
     nlohmann::json j = {{"revision", placed.revision}};
-    for (const auto& [name, entry] : placed.services)
+    for (const auto& [name, service] : placed.services)
     {
-        j["services"].push_back({{"definition", entry->definition}, {"shards", entry->shards}});
+        j["services"].push_back({{"definition", service->definition}, {"shards", service->shards}});
     }
     for (const auto& [name, item] : placed.instances)
     {
@@ -75,19 +75,19 @@
     auto placed = std::make_shared<placement>();
     placed->revision = j.at("revision");
     findings found;
-    for (const auto& entry : j.value("services", nlohmann::json::array()))
+    for (const auto& service_document : j.value("services", nlohmann::json::array()))
     {
-        nlohmann::json document = {{"services", {entry.at("definition")}}};
+        nlohmann::json document = {{"services", {service_document.at("definition")}}};
         configuration parsed = parse_configuration(document, found);
         placed_service item{parsed.services.begin()->second, {}};
-        for (const auto& replicas : entry.at("shards"))
+        for (const auto& replicas : service_document.at("shards"))
         {
             document = {{"backend_servers", replicas}};
             parsed = parse_configuration(document, found);
-            auto& holders = item.shards.emplace_back();
+            auto& servers = item.shards.emplace_back();
             for (const auto& [name, server] : parsed.backend_servers)
             {
-                holders.push_back(server);
+                servers.push_back(server);
             }
         }
         const service_name name = item.definition.name;
@@ -116,7 +116,7 @@
     {
         return {{"attempt", event.attempt}, {"result", event.result}};
     }
-    nlohmann::json operator()(const peer_asked& event) const
+    nlohmann::json operator()(const peer_delegated& event) const
     {
         return {{"peer", event.peer}, {"asked", subqueries_to_json(event.subqueries)}};
     }
@@ -154,63 +154,63 @@
 
 } // namespace
 
-nlohmann::json event_to_json(const coordinator_event& happened)
+nlohmann::json event_to_json(const coordinator_event& new_event)
 {
-    nlohmann::json j = std::visit(writer{}, happened);
-    j["kind"] = names[happened.index()];
+    nlohmann::json j = std::visit(writer{}, new_event);
+    j["kind"] = names[new_event.index()];
     return j;
 }
 
 coordinator_event event_from_json(const nlohmann::json& j)
 {
     const auto kind = j.at("kind").get<std::string>();
-    const auto is = [&](std::size_t index)
+    const auto is_kind = [&](std::size_t index)
     {
         return kind == names[index];
     };
-    if (is(0))
+    if (is_kind(0))
     {
         return placement_changed{placed_from_json(j)};
     }
-    if (is(1))
+    if (is_kind(1))
     {
         return peer_reachable{j.at("peer").get<instance_name>(), j.at("reachable")};
     }
-    if (is(2))
+    if (is_kind(2))
     {
         return query_arrived{j.at("query"), request_from_json(j.at("request"))};
     }
-    if (is(3))
+    if (is_kind(3))
     {
         return attempt_ended{j.at("attempt"), j.at("result").get<dispatch::attempt_result>()};
     }
-    if (is(4))
+    if (is_kind(4))
     {
-        return peer_asked{j.at("peer").get<instance_name>(), subqueries_from_json(j.at("asked"))};
+        return peer_delegated{j.at("peer").get<instance_name>(), subqueries_from_json(j.at("asked"))};
     }
-    if (is(5))
+    if (is_kind(5))
     {
         return peer_answered{j.at("peer").get<instance_name>(),
                              j.at("results").get<std::vector<peer_result>>()};
     }
-    if (is(6))
+    if (is_kind(6))
     {
         return peer_abandoned{j.at("peer").get<instance_name>(),
                               j.at("numbers").get<std::vector<std::uint64_t>>()};
     }
-    if (is(7))
+    if (is_kind(7))
     {
         return register_began{j.at("query"), j.at("reply").get<register_reply>()};
     }
-    if (is(8))
+    if (is_kind(8))
     {
         return register_finished{j.at("query")};
     }
-    if (is(9))
+    if (is_kind(9))
     {
         return listed{j.at("server").get<backend_server_name>(), j.at("leaving")};
     }
-    if (is(10))
+    if (is_kind(10))
     {
         return time_passed{};
     }
--- a/src/coordinator/peer_message.cpp
+++ b/src/coordinator/peer_message.cpp
@@ -51,18 +51,18 @@
 nlohmann::json subqueries_to_json(const std::vector<peer_subquery>& subqueries)
 {
     nlohmann::json j = {{"bodies", nlohmann::json::array()}, {"subqueries", nlohmann::json::array()}};
-    std::map<std::shared_ptr<const std::string>, std::size_t> known;
+    std::map<std::shared_ptr<const std::string>, std::size_t> body_indices;
     for (const peer_subquery& item : subqueries)
     {
-        const auto [found, fresh] = known.emplace(item.body, known.size());
-        if (fresh)
+        const auto [found, is_new] = body_indices.emplace(item.body, body_indices.size());
+        if (is_new)
         {
             j["bodies"].push_back(item.body ? *item.body : std::string());
         }
         j["subqueries"].push_back({{"number", item.number},
                                    {"shard", item.shard},
                                    {"version", item.version},
-                                   {"left", item.left},
+                                   {"left", item.time_left},
                                    {"repeatable", item.repeatable},
                                    {"body", found->second}});
     }
@@ -79,20 +79,20 @@
     std::vector<peer_subquery> subqueries;
     for (const auto& item : j.at("subqueries"))
     {
-        peer_subquery read;
-        read.number = item.at("number");
-        read.shard = item.at("shard");
-        read.version = item.at("version").get<index_version>();
-        read.left = item.at("left").get<duration>();
-        read.repeatable = item.at("repeatable");
+        peer_subquery subquery;
+        subquery.number = item.at("number");
+        subquery.shard = item.at("shard");
+        subquery.version = item.at("version").get<index_version>();
+        subquery.time_left = item.at("left").get<duration>();
+        subquery.repeatable = item.at("repeatable");
         const auto body = item.at("body").get<std::size_t>();
         if (body >= bodies.size())
         {
             throw nlohmann::json::other_error::create(static_cast<int>(errc::message_malformed),
                                                       "no such body", &item);
         }
-        read.body = bodies[body];
-        subqueries.push_back(std::move(read));
+        subquery.body = bodies[body];
+        subqueries.push_back(std::move(subquery));
     }
     return subqueries;
 }
--- a/src/coordinator/replay.cpp
+++ b/src/coordinator/replay.cpp
@@ -12,25 +12,26 @@
 namespace
 {
 
-/// One service's decisions and the answers that came out and aren't stated yet.
+/// The coordinator of a service, with its answers that the trace has not confirmed yet.
 struct replayed_service
 {
     service_coordinator coordinator;
     std::map<query_id, query_answer> answers;
 };
 
+/// Replays a trace line by line.
 class replayer
 {
   public:
-    void line(const std::string& text, const std::string& place)
+    void feed_line(const std::string& text, const std::string& location)
     {
         try
         {
-            read(nlohmann::json::parse(text), place);
+            feed_record(nlohmann::json::parse(text), location);
         }
         catch (const nlohmann::json::exception& malformed)
         {
-            m_report.found.error(errc::document_malformed, place, malformed.what());
+            m_report.found.error(errc::document_malformed, location, malformed.what());
         }
     }
 
@@ -40,7 +41,7 @@
     }
 
   private:
-    void read(const nlohmann::json& record, const std::string& place)
+    void feed_record(const nlohmann::json& record, const std::string& location)
     {
         const auto service = record.at("service").get<service_name>();
         if (record.contains("begin"))
@@ -57,41 +58,42 @@
         if (record.contains("event"))
         {
             ++m_report.events;
-            feed(replayed, event_from_json(record.at("event")), now);
+            handle_event(replayed, event_from_json(record.at("event")), now);
             return;
         }
-        compare(replayed, record.at("answer"), place);
+        compare(replayed, record.at("answer"), location);
     }
 
-    static void feed(replayed_service& replayed, const coordinator_event& event, time_point now)
+    static void handle_event(replayed_service& replayed, const coordinator_event& event, time_point now)
     {
         replayed.coordinator.handle(event, now);
         for (const coordinator_action& action : replayed.coordinator.take_actions())
         {
-            if (const auto* told = std::get_if<answer_caller>(&action))
+            if (const auto* answered = std::get_if<answer_caller>(&action))
             {
-                replayed.answers.insert_or_assign(told->query, told->answer);
+                replayed.answers.insert_or_assign(answered->query, answered->answer);
             }
         }
     }
 
-    void compare(replayed_service& replayed, const nlohmann::json& stated, const std::string& place)
+    void compare(replayed_service& replayed, const nlohmann::json& expected, const std::string& location)
     {
-        ++m_report.stated;
-        const auto found = replayed.answers.find(stated.at("query").get<query_id>());
+        ++m_report.expected_answers;
+        const auto found = replayed.answers.find(expected.at("query").get<query_id>());
         if (found == replayed.answers.end())
         {
-            m_report.found.error(errc::document_malformed, place, "the decisions gave no such answer");
+            m_report.found.error(errc::document_malformed, location,
+                                 "the replay gave no answer to this query");
             return;
         }
-        const nlohmann::json came_out = found->second;
-        if (came_out != stated.at("told"))
+        const nlohmann::json actual = found->second;
+        if (actual != expected.at("told"))
         {
-            m_report.found.error(errc::document_malformed, place,
-                                 "stated " + stated.at("told").dump() + " but came out " + came_out.dump());
+            m_report.found.error(errc::document_malformed, location,
+                                 "expected " + expected.at("told").dump() + " but got " + actual.dump());
             return;
         }
-        ++m_report.matching;
+        ++m_report.matching_answers;
         replayed.answers.erase(found);
     }
 
@@ -110,7 +112,7 @@
         ++number;
         if (!text.empty())
         {
-            run.line(text, "line " + std::to_string(number));
+            run.feed_line(text, "line " + std::to_string(number));
         }
     }
     return std::move(run).report();
--- a/src/coordinator/service_coordinator.cpp
+++ b/src/coordinator/service_coordinator.cpp
@@ -10,14 +10,14 @@
 namespace flaxtiller
 {
 
-service_coordinator::service_coordinator(instance_name self, service_name service, options limits,
+service_coordinator::service_coordinator(instance_name self, service_name service, options settings,
                                          std::uint64_t first_serial)
-    : m_self(std::move(self)), m_service(std::move(service)), m_options(limits),
-      m_scheduler(limits.scheduling), m_next_serial(first_serial)
+    : m_self(std::move(self)), m_service(std::move(service)), m_options(settings),
+      m_scheduler(settings.scheduling), m_next_serial(first_serial)
 {
 }
 
-void service_coordinator::handle(const coordinator_event& happened, time_point now)
+void service_coordinator::handle(const coordinator_event& new_event, time_point now)
 {
     // What is past its deadline goes first: a process that was stopped for long must not act on old plans.
     expire(now);
@@ -26,21 +26,21 @@
         {
             on(event, now);
         },
-        happened);
+        new_event);
     collect_scheduler_actions(now);
 }
 
 std::vector<coordinator_action> service_coordinator::take_actions()
 {
-    for (auto& [peer, batch] : std::exchange(m_abandons, {}))
+    for (auto& [peer, batch] : std::exchange(m_abandoned_for_peers, {}))
     {
         m_actions.emplace_back(std::move(batch));
     }
-    for (auto& [peer, batch] : std::exchange(m_asks, {}))
+    for (auto& [peer, batch] : std::exchange(m_delegations, {}))
     {
         m_actions.emplace_back(std::move(batch));
     }
-    for (auto& [peer, batch] : std::exchange(m_answers, {}))
+    for (auto& [peer, batch] : std::exchange(m_results_for_peers, {}))
     {
         m_actions.emplace_back(std::move(batch));
     }
@@ -82,7 +82,7 @@
         m_deadlines.erase(m_deadlines.begin());
         open_query& query = m_queries.at(id);
         query.execution.on_deadline();
-        settle(id, query, now);
+        finish_if_complete(id, query, now);
     }
 }
 
@@ -96,13 +96,13 @@
 
 void service_coordinator::on(const placement_changed& event, time_point now)
 {
-    const auto before = m_placed;
+    const auto previous = m_placed;
     m_placed = event.placed;
     const auto found = m_placed->services.find(m_service);
-    const placed_service none;
-    const placed_service& placed = found == m_placed->services.end() ? none : *found->second;
-    if (before && before->services.count(m_service) > 0 &&
-        before->services.at(m_service)->shards.size() != placed.shards.size())
+    const placed_service no_shards;
+    const placed_service& placed = found == m_placed->services.end() ? no_shards : *found->second;
+    if (previous && previous->services.count(m_service) > 0 &&
+        previous->services.at(m_service)->shards.size() != placed.shards.size())
     {
         m_versions.clear();
         m_peer_waits.clear();
@@ -154,47 +154,47 @@
         return;
     }
     m_reachable.erase(event.peer);
-    std::vector<std::pair<std::uint64_t, remote_part>> orphans;
-    for (const auto& [number, remote] : m_remote)
+    std::vector<std::pair<std::uint64_t, delegated_part>> lost_parts;
+    for (const auto& [number, delegated] : m_delegated)
     {
-        if (remote.owner == event.peer)
+        if (delegated.owner == event.peer)
         {
-            orphans.emplace_back(number, remote);
+            lost_parts.emplace_back(number, delegated);
         }
     }
-    std::sort(orphans.begin(), orphans.end(),
+    std::sort(lost_parts.begin(), lost_parts.end(),
               [](const auto& a, const auto& b)
               {
                   return a.first < b.first;
               });
-    for (const auto& [number, remote] : orphans)
+    for (const auto& [number, delegated] : lost_parts)
     {
-        m_remote.erase(number);
-        const auto query = m_queries.find(remote.query);
+        m_delegated.erase(number);
+        const auto query = m_queries.find(delegated.query);
         if (query == m_queries.end())
         {
             continue;
         }
         if (query->second.request.repeatable)
         {
-            route(remote.query, query->second, remote.part, now);
+            route(delegated.query, query->second, delegated.part, now);
             continue;
         }
         subquery_result lost;
-        lost.shard = remote.part.shard;
+        lost.shard = delegated.part.shard;
         lost.outcome = outcome::unknown;
         lost.reason = missing_reason::owner_unreachable;
-        part_over(remote.query, number, lost, now);
+        on_part_result(delegated.query, number, lost, now);
     }
-    std::vector<std::uint64_t> asked;
-    for (const auto& [key, id] : m_for_peers)
+    std::vector<std::uint64_t> abandoned;
+    for (const auto& [key, id] : m_peer_subqueries)
     {
-        if (key.first == event.peer && m_origins.at(id).repeatable)
+        if (key.first == event.peer && m_subquery_origins.at(id).repeatable)
         {
-            asked.push_back(key.second);
+            abandoned.push_back(key.second);
         }
     }
-    on(peer_abandoned{event.peer, asked}, now);
+    on(peer_abandoned{event.peer, abandoned}, now);
 }
 
 void service_coordinator::on(const listed& event, time_point now)
--- a/src/coordinator/service_coordinator_queries.cpp
+++ b/src/coordinator/service_coordinator_queries.cpp
@@ -17,15 +17,15 @@
 
 } // namespace
 
-void service_coordinator::refuse(const query_arrived& event, errc why, duration retry_after)
+void service_coordinator::refuse(const query_arrived& event, errc error, duration retry_after)
 {
-    query_answer told;
-    told.refusal = why;
-    told.retry_after = retry_after;
-    told.revision = m_placed ? m_placed->revision : 0;
+    query_answer reply;
+    reply.refusal = error;
+    reply.retry_after = retry_after;
+    reply.revision = m_placed ? m_placed->revision : 0;
     // This sending wasn't run, but only the register knows of earlier ones with the same key.
-    told.outcome = event.request.repeatable ? outcome::not_run : outcome::unknown;
-    m_actions.emplace_back(answer_caller{event.query, std::move(told)});
+    reply.outcome = event.request.repeatable ? outcome::not_run : outcome::unknown;
+    m_actions.emplace_back(answer_caller{event.query, std::move(reply)});
 }
 
 std::vector<int> service_coordinator::shards_of(const query_request& request) const
@@ -59,10 +59,11 @@
             longest = std::max(longest, m_scheduler.estimated_wait(shard));
             continue;
         }
-        const auto heard = m_peer_waits.find(shard);
-        if (heard != m_peer_waits.end() && now - heard->second.heard_at < m_options.wait_age)
+        const auto received = m_peer_waits.find(shard);
+        if (received != m_peer_waits.end() &&
+            now - received->second.received_at < m_options.peer_wait_validity)
         {
-            longest = std::max(longest, heard->second.wait);
+            longest = std::max(longest, received->second.wait);
         }
     }
     return longest;
@@ -80,7 +81,7 @@
         refuse(event, errc::unknown_shard, {});
         return;
     }
-    if (m_queries.size() >= m_options.most_queries)
+    if (m_queries.size() >= m_options.max_open_queries)
     {
         refuse(event, errc::overloaded, dispatch::admission::least_retry);
         return;
@@ -88,8 +89,8 @@
     const std::vector<int> shards = shards_of(event.request);
     const duration wait = longest_wait(shards, now);
     // A short deadline alone is no reason to refuse: it may be met. A queue is.
-    const duration usual = wait > duration{} ? m_scheduler.median_latency() : duration{};
-    if (!m_admission.admits(wait, usual, event.request.deadline))
+    const duration typical_latency = wait > duration{} ? m_scheduler.median_latency() : duration{};
+    if (!m_admission.admits(wait, typical_latency, event.request.deadline))
     {
         refuse(event, errc::overloaded, m_admission.retry_after(wait, event.request.deadline));
         return;
@@ -98,8 +99,8 @@
     query_execution execution(shards, m_placed->revision, serial << part_number_bits);
     const time_point deadline = now + event.request.deadline;
     auto body = std::make_shared<const std::string>(event.request.body);
-    open_query opened{event.request, std::move(body), std::move(execution), deadline, false, false};
-    auto& query = m_queries.emplace(event.query, std::move(opened)).first->second;
+    open_query new_query{event.request, std::move(body), std::move(execution), deadline, false, false};
+    auto& query = m_queries.emplace(event.query, std::move(new_query)).first->second;
     m_deadlines.emplace(deadline, event.query);
     if (query.request.repeatable)
     {
@@ -114,12 +115,12 @@
 {
     query.execution.start(m_versions);
     send_parts(id, query, now);
-    settle(id, query, now);
+    finish_if_complete(id, query, now);
 }
 
 void service_coordinator::send_parts(query_id id, open_query& query, time_point now)
 {
-    drop_parts(query.execution.take_abandoned(), now);
+    cancel_parts(query.execution.take_abandoned(), now);
     for (const query_execution::part& part : query.execution.take_parts())
     {
         route(id, query, part, now);
@@ -129,67 +130,67 @@
 void service_coordinator::route(query_id id, const open_query& query, const query_execution::part& part,
                                 time_point now)
 {
-    const time_point deadline = query.deadline - m_options.way_there_and_back;
+    const time_point deadline = query.deadline - m_options.round_trip_reserve;
     const instance_name owner = owner_of(part.shard);
     if (owner == m_self)
     {
         route_local({id, {}, part.number, query.request.repeatable, query.body}, part, deadline, now);
         return;
     }
-    m_remote.emplace(part.number, remote_part{id, owner, part});
-    ask_peer& batch = m_asks[owner];
+    m_delegated.emplace(part.number, delegated_part{id, owner, part});
+    delegate_to_peer& batch = m_delegations[owner];
     batch.peer = owner;
     batch.subqueries.push_back(
         {part.number, part.shard, part.version, deadline - now, query.request.repeatable, query.body});
 }
 
-void service_coordinator::route_local(const origin& from, const query_execution::part& part,
+void service_coordinator::route_local(const subquery_origin& from, const query_execution::part& part,
                                       time_point deadline, time_point now)
 {
     const dispatch::subquery_id id = m_next_subquery++;
-    m_origins.emplace(id, from);
+    m_subquery_origins.emplace(id, from);
     if (from.peer.empty())
     {
-        m_local.emplace(from.number, id);
+        m_local_parts.emplace(from.number, id);
     }
     else
     {
-        m_for_peers[{from.peer, from.number}] = id;
+        m_peer_subqueries[{from.peer, from.number}] = id;
     }
-    dispatch::subquery wanted;
-    wanted.id = id;
-    wanted.shard = part.shard;
-    wanted.version = part.version;
-    wanted.deadline = deadline;
-    wanted.repeatable = from.repeatable;
-    wanted.body = from.body;
-    m_scheduler.submit(wanted, now);
+    dispatch::subquery local_subquery;
+    local_subquery.id = id;
+    local_subquery.shard = part.shard;
+    local_subquery.version = part.version;
+    local_subquery.deadline = deadline;
+    local_subquery.repeatable = from.repeatable;
+    local_subquery.body = from.body;
+    m_scheduler.submit(local_subquery, now);
 }
 
-void service_coordinator::drop_parts(const std::vector<std::uint64_t>& numbers, time_point now)
+void service_coordinator::cancel_parts(const std::vector<std::uint64_t>& numbers, time_point now)
 {
     for (const std::uint64_t number : numbers)
     {
-        const auto local = m_local.find(number);
-        if (local != m_local.end())
+        const auto local = m_local_parts.find(number);
+        if (local != m_local_parts.end())
         {
             m_scheduler.abandon(local->second, now);
-            m_origins.erase(local->second);
-            m_local.erase(local);
+            m_subquery_origins.erase(local->second);
+            m_local_parts.erase(local);
         }
-        const auto remote = m_remote.find(number);
-        if (remote != m_remote.end())
+        const auto delegated = m_delegated.find(number);
+        if (delegated != m_delegated.end())
         {
-            abandon_at_peer& batch = m_abandons[remote->second.owner];
-            batch.peer = remote->second.owner;
+            abandon_delegated& batch = m_abandoned_for_peers[delegated->second.owner];
+            batch.peer = delegated->second.owner;
             batch.numbers.push_back(number);
-            m_remote.erase(remote);
+            m_delegated.erase(delegated);
         }
     }
 }
 
-void service_coordinator::part_over(query_id id, std::uint64_t number, const subquery_result& result,
-                                    time_point now)
+void service_coordinator::on_part_result(query_id id, std::uint64_t number, const subquery_result& result,
+                                         time_point now)
 {
     m_versions.note(result.shard, result.held_versions);
     const auto found = m_queries.find(id);
@@ -201,45 +202,45 @@
     if (query.execution.on_result(number, result, m_versions))
     {
         send_parts(id, query, now);
-        settle(id, query, now);
+        finish_if_complete(id, query, now);
     }
 }
 
-void service_coordinator::settle(query_id id, open_query& query, time_point now)
+void service_coordinator::finish_if_complete(query_id id, open_query& query, time_point now)
 {
     if (query.awaits_register && now >= query.deadline)
     {
         // The register's word didn't come in time. Nothing was sent, but an earlier sending may have been
         // run.
-        query_answer told = query.execution.answer().value_or(query_answer{});
+        query_answer reply = query.execution.answer().value_or(query_answer{});
         if (!query.recorded)
         {
-            told.refusal = errc::register_unreachable;
-            told.outcome = outcome::unknown;
-            m_late_begins.emplace(id, query.request);
+            reply.refusal = errc::register_unreachable;
+            reply.outcome = outcome::unknown;
+            m_abandoned_begins.emplace(id, query.request);
         }
-        tell(id, std::move(told));
+        answer_query(id, std::move(reply));
         return;
     }
     if (query.awaits_register || !query.execution.answer())
     {
         return;
     }
-    drop_parts(query.execution.take_abandoned(), now);
+    cancel_parts(query.execution.take_abandoned(), now);
     if (query.request.repeatable)
     {
-        tell(id, *query.execution.answer());
+        answer_query(id, *query.execution.answer());
         return;
     }
     query.awaits_register = true;
     query.recorded = true;
     m_deadlines.erase({query.deadline, id});
-    query.deadline = now + m_options.record_bound;
+    query.deadline = now + m_options.record_timeout;
     m_deadlines.emplace(query.deadline, id);
     m_actions.emplace_back(register_finish{id, query.request, *query.execution.answer()});
 }
 
-void service_coordinator::tell(query_id id, query_answer answer)
+void service_coordinator::answer_query(query_id id, query_answer answer)
 {
     const auto found = m_queries.find(id);
     m_deadlines.erase({found->second.deadline, id});
--- a/src/coordinator/service_coordinator_results.cpp
+++ b/src/coordinator/service_coordinator_results.cpp
@@ -14,9 +14,9 @@
 
 void service_coordinator::collect_scheduler_actions(time_point now)
 {
-    for (auto todo = m_scheduler.take_actions(); !todo.empty(); todo = m_scheduler.take_actions())
+    for (auto actions = m_scheduler.take_actions(); !actions.empty(); actions = m_scheduler.take_actions())
     {
-        for (dispatch::action& item : todo)
+        for (dispatch::action& item : actions)
         {
             if (auto* start = std::get_if<dispatch::start_attempt>(&item))
             {
@@ -28,53 +28,54 @@
                 m_actions.emplace_back(std::move(*cancel));
                 continue;
             }
-            auto& over = std::get<dispatch::finish_subquery>(item);
-            const auto found = m_origins.find(over.subquery);
-            if (found == m_origins.end())
+            auto& finished = std::get<dispatch::finish_subquery>(item);
+            const auto found = m_subquery_origins.find(finished.subquery);
+            if (found == m_subquery_origins.end())
             {
                 continue;
             }
-            const origin from = found->second;
-            m_origins.erase(found);
+            const subquery_origin from = found->second;
+            m_subquery_origins.erase(found);
             if (from.peer.empty())
             {
-                m_local.erase(from.number);
-                part_over(from.query, from.number, over.result, now);
+                m_local_parts.erase(from.number);
+                on_part_result(from.query, from.number, finished.result, now);
                 continue;
             }
-            m_for_peers.erase({from.peer, from.number});
-            answer_peer& batch = m_answers[from.peer];
+            m_peer_subqueries.erase({from.peer, from.number});
+            send_results_to_peer& batch = m_results_for_peers[from.peer];
             batch.peer = from.peer;
-            batch.results.push_back({from.number, std::move(over.result)});
+            batch.results.push_back({from.number, std::move(finished.result)});
         }
     }
 }
 
-void service_coordinator::on(const peer_asked& event, time_point now)
+void service_coordinator::on(const peer_delegated& event, time_point now)
 {
-    for (const peer_subquery& asked : event.subqueries)
+    for (const peer_subquery& delegated : event.subqueries)
     {
-        const time_point deadline = now + asked.left - m_options.way_there_and_back;
-        const query_execution::part part{asked.number, asked.shard, asked.version};
-        route_local({0, event.peer, asked.number, asked.repeatable, asked.body}, part, deadline, now);
+        const time_point deadline = now + delegated.time_left - m_options.round_trip_reserve;
+        const query_execution::part part{delegated.number, delegated.shard, delegated.version};
+        route_local({0, event.peer, delegated.number, delegated.repeatable, delegated.body}, part, deadline,
+                    now);
     }
 }
 
 void service_coordinator::on(const peer_answered& event, time_point now)
 {
-    for (const peer_result& answered : event.results)
+    for (const peer_result& returned : event.results)
     {
-        const subquery_result& result = answered.result;
+        const subquery_result& result = returned.result;
         m_peer_waits[result.shard] = {result.estimated_wait, now};
-        const auto found = m_remote.find(answered.number);
-        const bool awaited = found != m_remote.end() && found->second.owner == event.peer;
-        if (!awaited)
+        const auto found = m_delegated.find(returned.number);
+        const bool expected = found != m_delegated.end() && found->second.owner == event.peer;
+        if (!expected)
         {
             continue;
         }
         const query_id query = found->second.query;
-        m_remote.erase(found);
-        part_over(query, answered.number, result, now);
+        m_delegated.erase(found);
+        on_part_result(query, returned.number, result, now);
     }
 }
 
@@ -82,17 +83,17 @@
 {
     for (const std::uint64_t number : event.numbers)
     {
-        const auto found = m_for_peers.find({event.peer, number});
-        if (found == m_for_peers.end())
+        const auto found = m_peer_subqueries.find({event.peer, number});
+        if (found == m_peer_subqueries.end())
         {
             continue;
         }
         const dispatch::subquery_id id = found->second;
-        m_for_peers.erase(found);
-        if (m_origins.at(id).repeatable)
+        m_peer_subqueries.erase(found);
+        if (m_subquery_origins.at(id).repeatable)
         {
             m_scheduler.abandon(id, now);
-            m_origins.erase(id);
+            m_subquery_origins.erase(id);
         }
     }
 }
@@ -103,15 +104,15 @@
 
 void service_coordinator::on(const register_began& event, time_point now)
 {
-    const auto late = m_late_begins.find(event.query);
-    if (late != m_late_begins.end())
+    const auto abandoned_begin = m_abandoned_begins.find(event.query);
+    if (abandoned_begin != m_abandoned_begins.end())
     {
         if (event.reply.status == register_status::granted)
         {
             // Nobody waits any more: give the grant back, proved not run.
-            m_actions.emplace_back(register_finish{event.query, late->second, query_answer{}});
+            m_actions.emplace_back(register_finish{event.query, abandoned_begin->second, query_answer{}});
         }
-        m_late_begins.erase(late);
+        m_abandoned_begins.erase(abandoned_begin);
         return;
     }
     const auto found = m_queries.find(event.query);
@@ -120,8 +121,8 @@
         return;
     }
     open_query& query = found->second;
-    query_answer told;
-    told.revision = m_placed->revision;
+    query_answer reply;
+    reply.revision = m_placed->revision;
     switch (event.reply.status)
     {
     case register_status::granted:
@@ -129,33 +130,33 @@
         run(event.query, query, now);
         return;
     case register_status::done:
-        told = nlohmann::json::parse(event.reply.answer).get<query_answer>();
-        told.repeated = true;
+        reply = nlohmann::json::parse(event.reply.answer).get<query_answer>();
+        reply.repeated = true;
         break;
     case register_status::in_progress:
     case register_status::unknown:
-        told.outcome = outcome::unknown;
+        reply.outcome = outcome::unknown;
         for (const int shard : query.request.shards)
         {
-            told.missing[shard] = missing_reason::cut;
+            reply.missing[shard] = missing_reason::cut;
         }
         break;
     case register_status::key_reused:
-        told.refusal = errc::key_reused;
+        reply.refusal = errc::key_reused;
         break;
     case register_status::key_expired:
         // Whether it was run is forgotten.
-        told.refusal = errc::key_expired;
-        told.outcome = outcome::unknown;
+        reply.refusal = errc::key_expired;
+        reply.outcome = outcome::unknown;
         break;
     case register_status::unreachable:
         // This instance won't run it, but an earlier sending may have been run.
-        told.refusal = errc::register_unreachable;
-        told.outcome = outcome::unknown;
-        told.retry_after = m_options.record_bound;
+        reply.refusal = errc::register_unreachable;
+        reply.outcome = outcome::unknown;
+        reply.retry_after = m_options.record_timeout;
         break;
     }
-    tell(event.query, std::move(told));
+    answer_query(event.query, std::move(reply));
 }
 
 void service_coordinator::on(const register_finished& event, time_point)
@@ -163,7 +164,7 @@
     const auto found = m_queries.find(event.query);
     if (found != m_queries.end() && found->second.recorded)
     {
-        tell(event.query, *found->second.execution.answer());
+        answer_query(event.query, *found->second.execution.answer());
     }
 }
 
--- a/src/entry/entry_links.cpp
+++ b/src/entry/entry_links.cpp
@@ -33,7 +33,7 @@
 {
     if (const auto* asked = std::get_if<ask_message>(&*message))
     {
-        post_to_lane(asked->service, peer_asked{instance_name(from->name), asked->subqueries});
+        post_to_lane(asked->service, peer_delegated{instance_name(from->name), asked->subqueries});
     }
     else if (const auto* answered = std::get_if<answer_message>(&*message))
     {
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -41,7 +41,7 @@
 {
     service_coordinator::options options;
     options.scheduling = settings.dispatch;
-    options.most_queries = static_cast<std::size_t>(settings.most_queries_per_service);
+    options.max_open_queries = static_cast<std::size_t>(settings.most_queries_per_service);
     return options;
 }
 
--- a/src/shell/service_lane.cpp
+++ b/src/shell/service_lane.cpp
@@ -158,19 +158,19 @@
     }
 }
 
-void service_lane::carry(const ask_peer& action)
+void service_lane::carry(const delegate_to_peer& action)
 {
     m_context.counted.add(metrics::counter::subqueries_to_peers, action.subqueries.size());
     m_context.links.send(action.peer.str(), ask_message{m_service, action.subqueries});
 }
 
-void service_lane::carry(const answer_peer& action)
+void service_lane::carry(const send_results_to_peer& action)
 {
     m_context.counted.add(metrics::counter::subqueries_for_peers, action.results.size());
     m_context.links.send(action.peer.str(), answer_message{m_service, action.results});
 }
 
-void service_lane::carry(const abandon_at_peer& action)
+void service_lane::carry(const abandon_delegated& action)
 {
     m_context.links.send(action.peer.str(), abandon_message{m_service, action.numbers});
 }
--- a/src/shell/service_lane.hpp
+++ b/src/shell/service_lane.hpp
@@ -71,9 +71,9 @@
 
     void carry(const dispatch::start_attempt& action);
     void carry(const dispatch::cancel_attempt& action);
-    void carry(const ask_peer& action);
-    void carry(const answer_peer& action);
-    void carry(const abandon_at_peer& action);
+    void carry(const delegate_to_peer& action);
+    void carry(const send_results_to_peer& action);
+    void carry(const abandon_delegated& action);
     void carry(const register_begin& action);
     void carry(const register_finish& action);
     void carry(const answer_caller& action);
--- a/tests/src/unit-coordinator.cpp
+++ b/tests/src/unit-coordinator.cpp
@@ -46,13 +46,13 @@
         }
     }
 
-    void pass(double ms)
+    void advance(double ms)
     {
         now = now + duration::from_ms(ms);
         feed(time_passed{});
     }
 
-    void ask(query_id id, bool repeatable = true, double deadline_ms = 1000)
+    void send_query(query_id id, bool repeatable = true, double deadline_ms = 1000)
     {
         query_request request;
         request.service = dispatch_service;
@@ -89,14 +89,14 @@
 
     void answer_attempts()
     {
-        for (const auto& begun : take<dispatch::start_attempt>())
+        for (const auto& attempt : take<dispatch::start_attempt>())
         {
             dispatch::attempt_result result;
             result.status = dispatch::attempt_status::answered;
             result.version = index_version("1");
             result.held_versions = {index_version("1")};
             result.body = std::make_shared<const std::string>("found");
-            feed(attempt_ended{begun.attempt, result});
+            feed(attempt_ended{attempt.attempt, result});
         }
     }
 
@@ -110,7 +110,7 @@
     return dispatch::owner_candidates(dispatch_service, 0, *two_instances())[0].str();
 }
 
-std::string other_name()
+std::string non_owner_name()
 {
     return owner_name() == "e1" ? "e2" : "e1";
 }
@@ -120,28 +120,28 @@
 TEST_CASE("the owner runs a query on its own", "[coordinator]")
 {
     driver owner(owner_name());
-    owner.feed(peer_reachable{instance_name(other_name()), true});
-    owner.ask(1);
-    CHECK(owner.take<ask_peer>().empty());
+    owner.feed(peer_reachable{instance_name(non_owner_name()), true});
+    owner.send_query(1);
+    CHECK(owner.take<delegate_to_peer>().empty());
     owner.answer_attempts();
-    const auto told = owner.take<answer_caller>();
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].answer.is_whole());
+    const auto answers = owner.take<answer_caller>();
+    REQUIRE(answers.size() == 1);
+    CHECK(answers[0].answer.is_whole());
     CHECK(owner.coordinator.open_queries() == 0);
 }
 
 TEST_CASE("another instance sends to the owner, in one message", "[coordinator]")
 {
     driver owner(owner_name());
-    driver other(other_name());
+    driver other(non_owner_name());
     other.feed(peer_reachable{instance_name(owner_name()), true});
-    other.ask(1);
-    const auto asked = other.take<ask_peer>();
-    REQUIRE(asked.size() == 1);
-    REQUIRE(asked[0].subqueries.size() == 2);
-    owner.feed(peer_asked{instance_name(other_name()), asked[0].subqueries});
+    other.send_query(1);
+    const auto delegations = other.take<delegate_to_peer>();
+    REQUIRE(delegations.size() == 1);
+    REQUIRE(delegations[0].subqueries.size() == 2);
+    owner.feed(peer_delegated{instance_name(non_owner_name()), delegations[0].subqueries});
     owner.answer_attempts();
-    const auto results = owner.take<answer_peer>();
+    const auto results = owner.take<send_results_to_peer>();
 
     SECTION("and merges the results")
     {
@@ -149,16 +149,16 @@
         {
             other.feed(peer_answered{instance_name(owner_name()), batch.results});
         }
-        const auto told = other.take<answer_caller>();
-        REQUIRE(told.size() == 1);
-        CHECK(told[0].answer.is_whole());
+        const auto answers = other.take<answer_caller>();
+        REQUIRE(answers.size() == 1);
+        CHECK(answers[0].answer.is_whole());
     }
 
     SECTION("an owner that can't be reached is replaced, and its late results are dropped")
     {
         other.feed(peer_reachable{instance_name(owner_name()), false});
-        const auto begun = other.take<dispatch::start_attempt>();
-        CHECK(begun.size() == 2);
+        const auto attempts = other.take<dispatch::start_attempt>();
+        CHECK(attempts.size() == 2);
         for (const auto& batch : results)
         {
             other.feed(peer_answered{instance_name(owner_name()), batch.results});
@@ -168,34 +168,34 @@
 
     SECTION("the deadline is passed on less the way there and back")
     {
-        CHECK(asked[0].subqueries[0].left < duration::from_ms(1000));
-        CHECK(asked[0].subqueries[0].left > duration::from_ms(990));
+        CHECK(delegations[0].subqueries[0].time_left < duration::from_ms(1000));
+        CHECK(delegations[0].subqueries[0].time_left > duration::from_ms(990));
     }
 }
 
 TEST_CASE("a frozen instance that wakes", "[coordinator]")
 {
     driver owner(owner_name());
-    owner.ask(1, true, 100);
-    const auto begun = owner.take<dispatch::start_attempt>();
-    REQUIRE(begun.size() == 2);
+    owner.send_query(1, true, 100);
+    const auto attempts = owner.take<dispatch::start_attempt>();
+    REQUIRE(attempts.size() == 2);
     // Stopped for long; the first thing it sees is an answer that waited in its socket.
     owner.now = owner.now + duration::from_ms(60000);
     dispatch::attempt_result stale;
     stale.status = dispatch::attempt_status::answered;
     stale.version = index_version("1");
-    owner.feed(attempt_ended{begun[0].attempt, stale});
-    const auto told = owner.take<answer_caller>();
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].answer.covered.empty());
-    CHECK(told[0].answer.outcome == outcome::unknown);
+    owner.feed(attempt_ended{attempts[0].attempt, stale});
+    const auto answers = owner.take<answer_caller>();
+    REQUIRE(answers.size() == 1);
+    CHECK(answers[0].answer.covered.empty());
+    CHECK(answers[0].answer.outcome == outcome::unknown);
     CHECK(owner.take<dispatch::start_attempt>().empty());
 }
 
 TEST_CASE("a request that may not be repeated", "[coordinator]")
 {
     driver owner(owner_name());
-    owner.ask(1, false);
+    owner.send_query(1, false);
 
     SECTION("isn't sent before the register granted it")
     {
@@ -223,10 +223,10 @@
         before.outcome = outcome::run;
         before.covered[1] = std::make_shared<const std::string>("paid");
         owner.feed(register_began{1, {register_status::done, nlohmann::json(before).dump()}});
-        const auto told = owner.take<answer_caller>();
-        REQUIRE(told.size() == 1);
-        CHECK(told[0].answer.repeated);
-        CHECK(*told[0].answer.covered.at(1) == "paid");
+        const auto answers = owner.take<answer_caller>();
+        REQUIRE(answers.size() == 1);
+        CHECK(answers[0].answer.repeated);
+        CHECK(*answers[0].answer.covered.at(1) == "paid");
         CHECK(owner.take<dispatch::start_attempt>().empty());
     }
 
@@ -235,15 +235,15 @@
         const auto status =
             GENERATE(register_status::in_progress, register_status::unknown, register_status::unreachable);
         owner.feed(register_began{1, {status, {}}});
-        const auto told = owner.take<answer_caller>();
-        REQUIRE(told.size() == 1);
-        CHECK(told[0].answer.outcome == outcome::unknown);
+        const auto answers = owner.take<answer_caller>();
+        REQUIRE(answers.size() == 1);
+        CHECK(answers[0].answer.outcome == outcome::unknown);
         CHECK(owner.take<dispatch::start_attempt>().empty());
     }
 
     SECTION("a grant that comes after it was given up is returned as not run, and nothing is sent")
     {
-        owner.pass(1001);
+        owner.advance(1001);
         REQUIRE(owner.take<answer_caller>().size() == 1);
         owner.feed(register_began{1, {register_status::granted, {}}});
         CHECK(owner.take<dispatch::start_attempt>().empty());
@@ -254,11 +254,11 @@
 
     SECTION("its owner lost after it was sent makes it unknown, and it isn't sent again")
     {
-        driver other(other_name());
+        driver other(non_owner_name());
         other.feed(peer_reachable{instance_name(owner_name()), true});
-        other.ask(1, false);
+        other.send_query(1, false);
         other.feed(register_began{1, {register_status::granted, {}}});
-        REQUIRE(other.take<ask_peer>().size() == 1);
+        REQUIRE(other.take<delegate_to_peer>().size() == 1);
         other.feed(peer_reachable{instance_name(owner_name()), false});
         CHECK(other.take<dispatch::start_attempt>().empty());
         const auto records = other.take<register_finish>();
@@ -268,16 +268,16 @@
 
     SECTION("refused before the register was asked, it isn't called not run")
     {
-        driver strange("e1");
+        driver driver_e1("e1");
         query_request request;
         request.service = dispatch_service;
         request.repeatable = false;
         request.shards = {77};
-        strange.feed(query_arrived{9, request});
-        const auto told = strange.take<answer_caller>();
-        REQUIRE(told.size() == 1);
-        CHECK(told[0].answer.refusal == errc::unknown_shard);
-        CHECK(told[0].answer.outcome == outcome::unknown);
+        driver_e1.feed(query_arrived{9, request});
+        const auto answers = driver_e1.take<answer_caller>();
+        REQUIRE(answers.size() == 1);
+        CHECK(answers[0].answer.refusal == errc::unknown_shard);
+        CHECK(answers[0].answer.outcome == outcome::unknown);
     }
 }
 
@@ -288,8 +288,8 @@
     const replay_report report = replay(trace);
     INFO(report.found.to_text());
     CHECK_FALSE(report.found.has_errors());
-    CHECK(report.stated == 8);
-    CHECK(report.matching == report.stated);
+    CHECK(report.expected_answers == 8);
+    CHECK(report.matching_answers == report.expected_answers);
 
     SECTION("and a changed statement is found")
     {
