--- a/include/flaxtiller/coordinator/event_codec.hpp
+++ b/include/flaxtiller/coordinator/event_codec.hpp
@@ -7,10 +7,10 @@
 namespace flaxtiller
 {
 
-/// @return the event as JSON, for a trace
+/// @return the event as a JSON object for a trace
 nlohmann::json event_to_json(const coordinator_event& new_event);
 
-/// @brief Reads an event of a trace.
+/// @brief Parses an event of a trace.
 /// @throw nlohmann::json::exception if it is malformed
 coordinator_event event_from_json(const nlohmann::json& j);
 
--- a/include/flaxtiller/coordinator/peer_message.hpp
+++ b/include/flaxtiller/coordinator/peer_message.hpp
@@ -12,16 +12,17 @@
 namespace flaxtiller
 {
 
-/// @brief A subquery that one entry instance asks another to run, because that one owns the shard.
+/// @brief A subquery that one entry instance delegates to another, which owns the shard.
 struct peer_subquery
 {
     std::uint64_t number = 0;
     int shard = 0;
     index_version version;
-    /// Time left when it was sent; moments of different instances aren't comparable.
+    /// The time until the deadline when the message was sent. An absolute time would be useless, since the
+    /// clocks of different instances aren't comparable.
     duration time_left{};
     bool repeatable = true;
-    /// What to send to the backend server; subqueries of one query share it, also on the wire.
+    /// The request body for the backend server. Subqueries of one query share it, also in messages.
     std::shared_ptr<const std::string> body;
 
     bool operator==(const peer_subquery&) const = default;
@@ -41,10 +42,10 @@
 void to_json(nlohmann::json& j, const subquery_result& value);
 void from_json(const nlohmann::json& j, subquery_result& value);
 
-/// @return the subqueries as JSON, each different body once
+/// @return the subqueries as JSON, in which equal bodies of one query appear once
 nlohmann::json subqueries_to_json(const std::vector<peer_subquery>& subqueries);
 
-/// @brief Reads what @ref subqueries_to_json made.
+/// @brief Parses the output of @ref subqueries_to_json.
 /// @throw nlohmann::json::exception if it is malformed
 std::vector<peer_subquery> subqueries_from_json(const nlohmann::json& j);
 
--- a/include/flaxtiller/coordinator/replay.hpp
+++ b/include/flaxtiller/coordinator/replay.hpp
@@ -8,19 +8,20 @@
 namespace flaxtiller
 {
 
-/// @brief What a replay found.
+/// @brief The result of a replay.
 struct replay_report
 {
     std::size_t events = 0;
-    /// Answers that the trace states, and how many of them came out the same.
+    /// The number of answers in the trace, and the number of them that the replay reproduced.
     std::size_t expected_answers = 0;
     std::size_t matching_answers = 0;
-    /// Malformed lines, and answers that differ, each with its line.
+    /// The malformed lines and the differing answers, with their line numbers.
     findings found;
 };
 
-/// @brief Feeds a recorded trace to the decisions and compares the answers with those stated in it.
-/// @param trace one JSON object a line, as an entry records with the setting `/trace/file`
+/// @brief Feeds the events of a recorded trace to a @ref service_coordinator per service, and compares its
+/// answers with the answers in the trace.
+/// @param trace one JSON object per line, as an entry writes it with the setting `/trace/file`
 replay_report replay(std::istream& trace);
 
 } // namespace flaxtiller
--- a/include/flaxtiller/coordinator/service_coordinator.hpp
+++ b/include/flaxtiller/coordinator/service_coordinator.hpp
@@ -15,46 +15,50 @@
 namespace flaxtiller
 {
 
-/// @brief All decisions of one entry instance for one service: plan, routing to owners, scheduling of the
-/// shards it owns, merge. Deterministic; services share no state, so that one can't hold up another.
+/// @brief Makes all decisions of one entry instance on the queries of one service. Deterministic.
+///
+/// A query is split into one subquery per shard. Each shard has an owner, an entry instance that schedules
+/// the subqueries of the shard. The coordinator delegates subqueries to the owners, schedules those of its
+/// own shards, and merges the results to an answer. It consumes events (@ref handle) and returns actions
+/// (@ref take_actions). Services share no state, so that one service can't delay another.
 class service_coordinator
 {
   public:
-    /// @brief What can be turned.
+    /// @brief The tuning parameters.
     struct options
     {
         dispatch::scheduler_options scheduling;
-        /// Kept back from the deadline for each hop there and back.
+        /// The time that is subtracted from the deadline for the round trip of each hop.
         duration round_trip_reserve = duration::from_ms(2);
-        /// Queries under way in this instance for this service; one more is refused.
+        /// The highest number of open queries of the service in this instance; further queries are refused.
         std::size_t max_open_queries = 10000;
-        /// How long a peer's word on its queues counts.
+        /// The time for which the queue wait that a peer reported is used.
         duration peer_wait_validity = duration::from_ms(500);
-        /// How long an answer waits for the register to record it, at most, beyond the deadline never.
+        /// The longest time for which an answer waits for the register to record the outcome.
         duration record_timeout = duration::from_ms(1000);
     };
 
-    /// @param self this instance
-    /// @param first_serial numbers of queries start here; must differ from run to run of the same instance
+    /// @param self the name of this instance
+    /// @param first_serial the number of the first query; it must differ between runs of an instance
     service_coordinator(instance_name self, service_name service, options settings,
                         std::uint64_t first_serial);
 
-    /// @brief Takes in what happened at @a now.
+    /// @brief Handles an event that occurred at @a now.
     void handle(const coordinator_event& new_event, time_point now);
 
-    /// @return what must be done now, in this order
+    /// @brief Removes and returns the actions to execute now, in order.
     std::vector<coordinator_action> take_actions();
 
-    /// @return when a @ref time_passed is next needed
+    /// @return the time of the next @ref time_passed event that is needed
     time_point next_time() const noexcept;
 
-    /// @return queries that aren't answered yet
+    /// @return the number of unanswered queries
     std::size_t open_queries() const noexcept;
 
     const dispatch::scheduler& scheduler() const noexcept;
     const version_view& versions() const noexcept;
 
-    /// @return the owner to which a subquery of this shard would go now
+    /// @return the current owner of a shard
     instance_name owner_of(int shard) const;
 
   private:
@@ -64,12 +68,13 @@
         std::shared_ptr<const std::string> body;
         query_execution execution;
         time_point deadline;
-        /// Waits for the register to grant or to record it.
+        /// Whether the query waits for the register to grant it or to record its outcome.
         bool awaits_register = false;
         bool recorded = false;
     };
 
-    /// Where a subquery of the local scheduler comes from.
+    /// The source of a subquery of the local scheduler: a local query, or another instance if @ref peer is
+    /// set.
     struct subquery_origin
     {
         query_id query = 0;
@@ -128,18 +133,18 @@
     dispatch::admission m_admission;
     version_view m_versions;
     std::shared_ptr<const placement> m_placed;
-    /// By group of shards: candidates, most preferred first.
+    /// The owner candidates of each group of shards, in order of preference.
     std::vector<std::vector<instance_name>> m_candidates;
     std::set<instance_name> m_reachable;
     std::uint64_t m_next_serial;
     dispatch::subquery_id m_next_subquery = 1;
     std::unordered_map<query_id, open_query> m_queries;
     std::set<std::pair<time_point, query_id>> m_deadlines;
-    /// Given up before the register answered their begin.
+    /// Queries that were answered before the register answered their @ref register_begin.
     std::unordered_map<query_id, query_request> m_abandoned_begins;
     std::unordered_map<dispatch::subquery_id, subquery_origin> m_subquery_origins;
     std::unordered_map<std::uint64_t, delegated_part> m_delegated;
-    /// Local parts, to abandon them by number.
+    /// The subqueries of local queries by part number, for cancellation.
     std::unordered_map<std::uint64_t, dispatch::subquery_id> m_local_parts;
     std::map<std::pair<instance_name, std::uint64_t>, dispatch::subquery_id> m_peer_subqueries;
     std::map<int, peer_wait> m_peer_waits;
--- a/src/coordinator/event_codec.cpp
+++ b/src/coordinator/event_codec.cpp
@@ -37,7 +37,7 @@
     value.held_versions = j.at("held_versions").get<std::vector<index_version>>();
     value.retry_after = j.at("retry_after").get<duration>();
     value.leaving = j.at("leaving");
-    // Older traces don't have it.
+    // Absent from older traces.
     value.hung_up = j.value("hung_up", false);
     if (j.contains("body"))
     {
@@ -50,7 +50,7 @@
 namespace
 {
 
-/// Names of the events in a trace, in the order of coordinator_event.
+/// The names of the events in a trace, in the order of @ref coordinator_event.
 constexpr const char* names[] = {
     "placement",     "peer",           "query",          "attempt",           "peer_asked",
     "peer_answered", "peer_abandoned", "register_began", "register_finished", "listed",
--- a/src/coordinator/service_coordinator.cpp
+++ b/src/coordinator/service_coordinator.cpp
@@ -1,4 +1,4 @@
-// Time, configuration, and which entry owns which shard.
+// Handles timers, configuration changes, and the choice of shard owners.
 
 #include <flaxtiller/coordinator/service_coordinator.hpp>
 
@@ -19,7 +19,8 @@
 
 void service_coordinator::handle(const coordinator_event& new_event, time_point now)
 {
-    // What is past its deadline goes first: a process that was stopped for long must not act on old plans.
+    // Expired queries are completed before the event is handled. Otherwise a process that was suspended for a
+    // long time would act on outdated state.
     expire(now);
     std::visit(
         [&](const auto& event)
@@ -142,7 +143,8 @@
             return candidate;
         }
     }
-    // No candidate can be reached. Its own share of the connections is reserved, so it serves itself.
+    // No candidate is reachable. Each instance has a reserved share of the connections, which allows this
+    // instance to execute the subqueries itself.
     return m_self;
 }
 
--- a/src/coordinator/service_coordinator_queries.cpp
+++ b/src/coordinator/service_coordinator_queries.cpp
@@ -1,4 +1,4 @@
-// What happens to a query from its arrival to its answer.
+// Handles queries from their arrival to their answer.
 
 #include <flaxtiller/coordinator/service_coordinator.hpp>
 
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Each query has this many numbers for its parts.
+/// The number of bits that part numbers of a query occupy below the serial number of the query.
 constexpr unsigned part_number_bits = 20;
 
 } // namespace
@@ -23,7 +23,8 @@
     reply.refusal = error;
     reply.retry_after = retry_after;
     reply.revision = m_placed ? m_placed->revision : 0;
-    // This sending wasn't run, but only the register knows of earlier ones with the same key.
+    // This request was not executed, but only the register knows whether an earlier request with the same key
+    // was.
     reply.outcome = event.request.repeatable ? outcome::not_run : outcome::unknown;
     m_actions.emplace_back(answer_caller{event.query, std::move(reply)});
 }
@@ -88,7 +89,8 @@
     }
     const std::vector<int> shards = shards_of(event.request);
     const duration wait = longest_wait(shards, now);
-    // A short deadline alone is no reason to refuse: it may be met. A queue is.
+    // A short deadline alone is no reason for a refusal, since the answer may still be in time. The typical
+    // latency counts only if there is a queue.
     const duration typical_latency = wait > duration{} ? m_scheduler.median_latency() : duration{};
     if (!m_admission.admits(wait, typical_latency, event.request.deadline))
     {
@@ -210,8 +212,8 @@
 {
     if (query.awaits_register && now >= query.deadline)
     {
-        // The register's word didn't come in time. Nothing was sent, but an earlier sending may have been
-        // run.
+        // The register didn't answer in time. If the query was not granted, no subquery was sent, but an
+        // earlier request with the same key may have been executed.
         query_answer reply = query.execution.answer().value_or(query_answer{});
         if (!query.recorded)
         {
--- a/src/coordinator/service_coordinator_results.cpp
+++ b/src/coordinator/service_coordinator_results.cpp
@@ -1,4 +1,4 @@
-// What the local scheduler, other entries and the register answer.
+// Handles results of the local scheduler, of other entries and of the register.
 
 #include <flaxtiller/coordinator/service_coordinator.hpp>
 
@@ -109,7 +109,8 @@
     {
         if (event.reply.status == register_status::granted)
         {
-            // Nobody waits any more: give the grant back, proved not run.
+            // The query was answered already. The grant is returned with the outcome that the request was not
+            // executed.
             m_actions.emplace_back(register_finish{event.query, abandoned_begin->second, query_answer{}});
         }
         m_abandoned_begins.erase(abandoned_begin);
@@ -145,12 +146,13 @@
         reply.refusal = errc::key_reused;
         break;
     case register_status::key_expired:
-        // Whether it was run is forgotten.
+        // The register no longer knows whether the request was executed.
         reply.refusal = errc::key_expired;
         reply.outcome = outcome::unknown;
         break;
     case register_status::unreachable:
-        // This instance won't run it, but an earlier sending may have been run.
+        // This instance doesn't execute the request, but an earlier request with the same key may have been
+        // executed.
         reply.refusal = errc::register_unreachable;
         reply.outcome = outcome::unknown;
         reply.retry_after = m_options.record_timeout;
--- a/tests/src/unit-coordinator.cpp
+++ b/tests/src/unit-coordinator.cpp
@@ -29,7 +29,7 @@
     return placed;
 }
 
-/// Feeds one instance's decisions by hand.
+/// Drives the coordinator of one instance with explicit events.
 struct driver
 {
     explicit driver(const std::string& self) : coordinator(instance_name(self), dispatch_service, {}, 500)
@@ -117,7 +117,7 @@
 
 } // namespace
 
-TEST_CASE("the owner runs a query on its own", "[coordinator]")
+TEST_CASE("the owner of the shards executes a query without delegation", "[coordinator]")
 {
     driver owner(owner_name());
     owner.feed(peer_reachable{instance_name(non_owner_name()), true});
@@ -130,7 +130,7 @@
     CHECK(owner.coordinator.open_queries() == 0);
 }
 
-TEST_CASE("another instance sends to the owner, in one message", "[coordinator]")
+TEST_CASE("another instance delegates its subqueries to the owner in one message", "[coordinator]")
 {
     driver owner(owner_name());
     driver other(non_owner_name());
@@ -143,7 +143,7 @@
     owner.answer_attempts();
     const auto results = owner.take<send_results_to_peer>();
 
-    SECTION("and merges the results")
+    SECTION("the instance merges the returned results")
     {
         for (const auto& batch : results)
         {
@@ -154,7 +154,7 @@
         CHECK(answers[0].answer.is_whole());
     }
 
-    SECTION("an owner that can't be reached is replaced, and its late results are dropped")
+    SECTION("an unreachable owner is replaced, and its late results are ignored")
     {
         other.feed(peer_reachable{instance_name(owner_name()), false});
         const auto attempts = other.take<dispatch::start_attempt>();
@@ -166,20 +166,20 @@
         CHECK(other.take<answer_caller>().empty());
     }
 
-    SECTION("the deadline is passed on less the way there and back")
+    SECTION("the delegated deadline is reduced by the round trip reserve")
     {
         CHECK(delegations[0].subqueries[0].time_left < duration::from_ms(1000));
         CHECK(delegations[0].subqueries[0].time_left > duration::from_ms(990));
     }
 }
 
-TEST_CASE("a frozen instance that wakes", "[coordinator]")
+TEST_CASE("an instance that resumes after a long suspension doesn't act on expired queries", "[coordinator]")
 {
     driver owner(owner_name());
     owner.send_query(1, true, 100);
     const auto attempts = owner.take<dispatch::start_attempt>();
     REQUIRE(attempts.size() == 2);
-    // Stopped for long; the first thing it sees is an answer that waited in its socket.
+    // The first event after the suspension is an answer that waited in a socket.
     owner.now = owner.now + duration::from_ms(60000);
     dispatch::attempt_result stale;
     stale.status = dispatch::attempt_status::answered;
@@ -192,12 +192,12 @@
     CHECK(owner.take<dispatch::start_attempt>().empty());
 }
 
-TEST_CASE("a request that may not be repeated", "[coordinator]")
+TEST_CASE("a request that must not be repeated", "[coordinator]")
 {
     driver owner(owner_name());
     owner.send_query(1, false);
 
-    SECTION("isn't sent before the register granted it")
+    SECTION("the request isn't sent before the register grants it")
     {
         CHECK(owner.take<dispatch::start_attempt>().empty());
         REQUIRE(owner.take<register_begin>().size() == 1);
@@ -205,7 +205,7 @@
         REQUIRE(owner.take<dispatch::start_attempt>().size() == 1);
     }
 
-    SECTION("is answered once its outcome is recorded")
+    SECTION("the caller gets the answer after the outcome is recorded")
     {
         owner.feed(register_began{1, {register_status::granted, {}}});
         owner.answer_attempts();
@@ -217,7 +217,7 @@
         REQUIRE(owner.take<answer_caller>().size() == 1);
     }
 
-    SECTION("is answered from the record when it was run before")
+    SECTION("the recorded answer is returned if the request was executed before")
     {
         query_answer before;
         before.outcome = outcome::run;
@@ -230,7 +230,7 @@
         CHECK(owner.take<dispatch::start_attempt>().empty());
     }
 
-    SECTION("is unknown, never not run, while another may have run it or the register is silent")
+    SECTION("the outcome is unknown if the register is unsure or unreachable")
     {
         const auto status =
             GENERATE(register_status::in_progress, register_status::unknown, register_status::unreachable);
@@ -241,7 +241,7 @@
         CHECK(owner.take<dispatch::start_attempt>().empty());
     }
 
-    SECTION("a grant that comes after it was given up is returned as not run, and nothing is sent")
+    SECTION("a grant that arrives after the deadline is returned as not run, and nothing is sent")
     {
         owner.advance(1001);
         REQUIRE(owner.take<answer_caller>().size() == 1);
@@ -252,7 +252,7 @@
         CHECK(records[0].answer.outcome == outcome::not_run);
     }
 
-    SECTION("its owner lost after it was sent makes it unknown, and it isn't sent again")
+    SECTION("the loss of the owner after sending makes the outcome unknown without another attempt")
     {
         driver other(non_owner_name());
         other.feed(peer_reachable{instance_name(owner_name()), true});
@@ -266,7 +266,7 @@
         CHECK(records[0].answer.outcome == outcome::unknown);
     }
 
-    SECTION("refused before the register was asked, it isn't called not run")
+    SECTION("a refusal before the register is asked leaves the outcome unknown")
     {
         driver driver_e1("e1");
         query_request request;
@@ -281,7 +281,7 @@
     }
 }
 
-TEST_CASE("a recorded trace gives the answers that it states", "[coordinator][replay]")
+TEST_CASE("the replay of a recorded trace reproduces the answers in the trace", "[coordinator][replay]")
 {
     std::ifstream trace(TRACE_FOLDER "/quickstart.jsonl");
     REQUIRE(trace);
@@ -291,7 +291,7 @@
     CHECK(report.expected_answers == 8);
     CHECK(report.matching_answers == report.expected_answers);
 
-    SECTION("and a changed statement is found")
+    SECTION("the replay reports a changed answer")
     {
         std::stringstream text;
         std::ifstream again(TRACE_FOLDER "/quickstart.jsonl");
