--- a/src/coordinator/peer_message.cpp
+++ b/src/coordinator/peer_message.cpp
@@ -89,7 +89,7 @@
         if (body >= bodies.size())
         {
             throw nlohmann::json::other_error::create(static_cast<int>(errc::message_malformed),
-                                                      "body index out of range", &item);
+                                                      "no body with this index", &item);
         }
         subquery.body = bodies[body];
         subqueries.push_back(std::move(subquery));
--- a/src/coordinator/service_coordinator_results.cpp
+++ b/src/coordinator/service_coordinator_results.cpp
@@ -122,8 +122,8 @@
         return;
     }
     open_query& query = found->second;
-    query_answer reply;
-    reply.revision = m_placed->revision;
+    query_answer answer;
+    answer.revision = m_placed->revision;
     switch (event.reply.status)
     {
     case register_status::granted:
@@ -132,33 +132,33 @@
         return;
     case register_status::done:
         reply = nlohmann::json::parse(event.reply.answer).get<query_answer>();
-        reply.repeated = true;
+        answer.repeated = true;
         break;
     case register_status::in_progress:
     case register_status::unknown:
-        reply.outcome = outcome::unknown;
+        answer.outcome = outcome::unknown;
         for (const int shard : query.request.shards)
         {
-            reply.missing[shard] = missing_reason::cut;
+            answer.missing[shard] = missing_reason::cut;
         }
         break;
     case register_status::key_reused:
-        reply.refusal = errc::key_reused;
+        answer.refusal = errc::key_reused;
         break;
     case register_status::key_expired:
         // The register no longer knows whether the request was executed.
-        reply.refusal = errc::key_expired;
-        reply.outcome = outcome::unknown;
+        answer.refusal = errc::key_expired;
+        answer.outcome = outcome::unknown;
         break;
     case register_status::unreachable:
         // This instance doesn't execute the request, but an earlier request with the same key may have been
         // executed.
-        reply.refusal = errc::register_unreachable;
-        reply.outcome = outcome::unknown;
-        reply.retry_after = m_options.record_timeout;
+        answer.refusal = errc::register_unreachable;
+        answer.outcome = outcome::unknown;
+        answer.retry_after = m_options.record_timeout;
         break;
     }
-    answer_query(event.query, std::move(reply));
+    answer_query(event.query, std::move(answer));
 }
 
 void service_coordinator::on(const register_finished& event, time_point)
--- a/tests/src/unit-coordinator.cpp
+++ b/tests/src/unit-coordinator.cpp
@@ -89,14 +89,14 @@
 
     void answer_attempts()
     {
-        for (const auto& attempt : take<dispatch::start_attempt>())
+        for (const auto& started : take<dispatch::start_attempt>())
         {
             dispatch::attempt_result result;
             result.status = dispatch::attempt_status::answered;
             result.version = index_version("1");
             result.held_versions = {index_version("1")};
             result.body = std::make_shared<const std::string>("found");
-            feed(attempt_ended{attempt.attempt, result});
+            feed(attempt_ended{started.attempt, result});
         }
     }
 
