--- a/src/coordinator/service_coordinator_queries.cpp
+++ b/src/coordinator/service_coordinator_queries.cpp
@@ -19,14 +19,14 @@
 
 void service_coordinator::refuse(const query_arrived& event, errc error, duration retry_after)
 {
-    query_answer answer;
-    answer.refusal = error;
-    answer.retry_after = retry_after;
-    answer.revision = m_placed ? m_placed->revision : 0;
+    query_answer final_answer;
+    final_answer.refusal = error;
+    final_answer.retry_after = retry_after;
+    final_answer.revision = m_placed ? m_placed->revision : 0;
     // This request was not executed, but only the register knows whether an earlier request with the same key
     // was.
-    answer.outcome = event.request.repeatable ? outcome::not_run : outcome::unknown;
-    m_actions.emplace_back(answer_caller{event.query, std::move(answer)});
+    final_answer.outcome = event.request.repeatable ? outcome::not_run : outcome::unknown;
+    m_actions.emplace_back(answer_caller{event.query, std::move(final_answer)});
 }
 
 std::vector<int> service_coordinator::shards_of(const query_request& request) const
@@ -214,14 +214,14 @@
     {
         // The register didn't answer in time. If the query was not granted, no subquery was sent, but an
         // earlier request with the same key may have been executed.
-        query_answer answer = query.execution.answer().value_or(query_answer{});
+        query_answer final_answer = query.execution.answer().value_or(query_answer{});
         if (!query.recorded)
         {
-            answer.refusal = errc::register_unreachable;
-            answer.outcome = outcome::unknown;
+            final_answer.refusal = errc::register_unreachable;
+            final_answer.outcome = outcome::unknown;
             m_abandoned_begins.emplace(id, query.request);
         }
-        answer_query(id, std::move(answer));
+        answer_query(id, std::move(final_answer));
         return;
     }
     if (query.awaits_register || !query.execution.answer())
--- a/src/coordinator/service_coordinator_results.cpp
+++ b/src/coordinator/service_coordinator_results.cpp
@@ -122,8 +122,8 @@
         return;
     }
     open_query& query = found->second;
-    query_answer answer;
-    answer.revision = m_placed->revision;
+    query_answer final_answer;
+    final_answer.revision = m_placed->revision;
     switch (event.reply.status)
     {
     case register_status::granted:
@@ -131,34 +131,34 @@
         run(event.query, query, now);
         return;
     case register_status::done:
-        reply = nlohmann::json::parse(event.reply.answer).get<query_answer>();
-        answer.repeated = true;
+        final_answer = nlohmann::json::parse(event.reply.answer).get<query_answer>();
+        final_answer.repeated = true;
         break;
     case register_status::in_progress:
     case register_status::unknown:
-        answer.outcome = outcome::unknown;
+        final_answer.outcome = outcome::unknown;
         for (const int shard : query.request.shards)
         {
-            answer.missing[shard] = missing_reason::cut;
+            final_answer.missing[shard] = missing_reason::cut;
         }
         break;
     case register_status::key_reused:
-        answer.refusal = errc::key_reused;
+        final_answer.refusal = errc::key_reused;
         break;
     case register_status::key_expired:
         // The register no longer knows whether the request was executed.
-        answer.refusal = errc::key_expired;
-        answer.outcome = outcome::unknown;
+        final_answer.refusal = errc::key_expired;
+        final_answer.outcome = outcome::unknown;
         break;
     case register_status::unreachable:
         // This instance doesn't execute the request, but an earlier request with the same key may have been
         // executed.
-        answer.refusal = errc::register_unreachable;
-        answer.outcome = outcome::unknown;
-        answer.retry_after = m_options.record_timeout;
+        final_answer.refusal = errc::register_unreachable;
+        final_answer.outcome = outcome::unknown;
+        final_answer.retry_after = m_options.record_timeout;
         break;
     }
-    answer_query(event.query, std::move(answer));
+    answer_query(event.query, std::move(final_answer));
 }
 
 void service_coordinator::on(const register_finished& event, time_point)
