--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -85,7 +85,7 @@
     }
     if (FLAGS_init)
     {
-        return report(process.found_logs()) ? success : refused;
+        return report(process.bootstrap_logs()) ? success : refused;
     }
     return process.run();
 }
--- a/src/control/control_decisions.cpp
+++ b/src/control/control_decisions.cpp
@@ -9,23 +9,23 @@
 namespace
 {
 
-constexpr duration tick_every = duration::from_ms(10);
-constexpr duration notice_every = duration::from_ms(1000);
-constexpr duration count_entries_every = duration::from_ms(100);
+constexpr duration tick_interval = duration::from_ms(10);
+constexpr duration notice_interval = duration::from_ms(1000);
+constexpr duration entry_count_interval = duration::from_ms(100);
 /// Each look goes through all links; well within the first pause between two tries to make one.
-constexpr duration tick_links_every = duration::from_ms(20);
+constexpr duration link_tick_interval = duration::from_ms(20);
 /// Entries notice that a leader is lost after two or three reports, a second each, and then report to all
 /// replicas.
-constexpr duration reports_bound = duration::from_ms(3500);
+constexpr duration report_grace_period = duration::from_ms(3500);
 /// After a start of all, links and first reports take less than this.
-constexpr duration cold_reports_bound = duration::from_ms(700);
-constexpr duration cold_start_bound = duration::from_ms(6000);
+constexpr duration startup_report_grace_period = duration::from_ms(700);
+constexpr duration startup_period = duration::from_ms(6000);
 /// Processes that start together do so within less than this, their first links included.
-constexpr duration joint_start_bound = duration::from_ms(1000);
+constexpr duration simultaneous_start_tolerance = duration::from_ms(1000);
 
 } // namespace
 
-void control_process::implementation::pump_soon()
+void control_process::implementation::schedule_pump()
 {
     if (!pump_posted)
     {
@@ -55,12 +55,12 @@
         },
         now);
     publish();
-    note_changes();
-    confirm_to_entries(now);
+    track_state_changes();
+    confirm_revision_to_entries(now);
     link_to_members();
 }
 
-bool control_process::implementation::forms_itself() const
+bool control_process::implementation::is_self_forming() const
 {
     return settings.self_forming;
 }
@@ -72,7 +72,7 @@
     {
         names.insert(seed.name);
     }
-    if (const quorum::replica* node = catalog.node(); node != nullptr && forms_itself())
+    if (const quorum::replica* node = catalog.node(); node != nullptr && is_self_forming())
     {
         for (const auto& [name, item] : node->members().members)
         {
@@ -85,20 +85,20 @@
 void control_process::implementation::link_to_members()
 {
     std::set<std::string> names = replica_names();
-    if (names == linked)
+    if (names == linked_replicas)
     {
         return;
     }
-    linked = std::move(names);
-    std::set<std::string> others = linked;
+    linked_replicas = std::move(names);
+    std::set<std::string> others = linked_replicas;
     others.erase(settings.replica.name);
-    hub.set_replicas(std::move(others));
-    if (!forms_itself())
+    registrations.set_replicas(std::move(others));
+    if (!is_self_forming())
     {
         return;
     }
     std::vector<named_address> peers;
-    for (const std::string& name : linked)
+    for (const std::string& name : linked_replicas)
     {
         if (const auto at = parse_address(name))
         {
@@ -106,9 +106,9 @@
         }
     }
     links.want(peers);
-    const control_members told{{linked.begin(), linked.end()}};
+    const control_members member_list{{linked_replicas.begin(), linked_replicas.end()}};
     const std::set<std::string> reachable = links.reachable();
-    links.send(std::vector<std::string>(reachable.begin(), reachable.end()), told);
+    links.send(std::vector<std::string>(reachable.begin(), reachable.end()), member_list);
 }
 
 void control_process::implementation::send(const char* log_name, const quorum::message& message)
@@ -124,11 +124,11 @@
     {
         // Entries recognize callers' keys by digests.
         configuration for_entries = state.current().without_keys();
-        if (const auto before = publisher.present())
+        if (const auto previous = publisher.present())
         {
-            for_entries.share_with(*before);
+            for_entries.share_with(*previous);
         }
-        limits.configure(for_entries.teams, now);
+        rate_limits.configure(for_entries.teams, now);
         publisher.on_revision(state.revision(),
                               std::make_shared<const configuration>(std::move(for_entries)));
     }
@@ -144,56 +144,58 @@
     }
 }
 
-void control_process::implementation::note_changes()
+void control_process::implementation::track_state_changes()
 {
     quorum::replica* node = catalog.node();
-    if (node != nullptr && awaits_lease && !node->awaits_earlier_lease())
+    if (node != nullptr && waits_for_previous_lease && !node->awaits_earlier_lease())
     {
         log(log_level::info, "earlier_lease_over",
             {{"after_ms", (clock.now() - started_at).ms()}, {"leader", node->leader().str()}});
     }
-    awaits_lease = node != nullptr && node->awaits_earlier_lease();
+    waits_for_previous_lease = node != nullptr && node->awaits_earlier_lease();
     const bool leaderless = node != nullptr && node->leader().empty();
     leaderless_since = leaderless ? std::min(leaderless_since, clock.now()) : time_point::never();
     const bool leads = node != nullptr && node->is_ready_leader();
-    if (leads != led)
+    if (leads != was_leader)
     {
-        led = leads;
-        led_since = clock.now();
+        was_leader = leads;
+        leader_since = clock.now();
         log(log_level::info, leads ? "leading" : "not_leading", {{"term", node ? node->term() : 0}});
     }
-    const std::error_code now_failing =
+    const std::error_code storage_error_now =
         catalog.storage_error() ? catalog.storage_error() : registers.storage_error();
-    if (now_failing != reported_storage_error)
+    if (storage_error_now != reported_storage_error)
     {
-        reported_storage_error = now_failing;
-        log(now_failing ? log_level::error : log_level::info,
-            now_failing ? "storage_failing" : "storage_recovered",
-            {{"error", now_failing.message()}, {"folder", settings.data_folder}});
+        reported_storage_error = storage_error_now;
+        log(storage_error_now ? log_level::error : log_level::info,
+            storage_error_now ? "storage_failing" : "storage_recovered",
+            {{"error", storage_error_now.message()}, {"folder", settings.data_folder}});
     }
 }
 
 /// Whether entries have had the time to report to this replica since it leads: while they know a leader they
 /// report to that one only. All started together report to every replica from the start.
-bool control_process::implementation::knows_entries(time_point now) const
+bool control_process::implementation::knows_all_entries(time_point now) const
 {
-    const bool started_lately = led_since - started_at < cold_start_bound;
-    const duration bound = started_lately ? cold_reports_bound : pace().scaled(reports_bound);
-    return led && (now - led_since >= bound || (started_lately && all_linked_reported(now)));
+    const bool recently_started = leader_since - started_at < startup_period;
+    const duration bound =
+        recently_started ? startup_report_grace_period : pace().scaled(report_grace_period);
+    return was_leader &&
+           (now - leader_since >= bound || (recently_started && all_linked_entries_reported(now)));
 }
 
 /// Whether each entry that has a link to this replica reported to it since it started. Until entries know how
 /// many they are, each takes one connection to a backend server and runs all shards itself: 0.7 s of the
 /// return of 65 instances after a loss of power. An entry that goes on while this replica restarts has a
 /// link, but reports to another one.
-bool control_process::implementation::all_linked_reported(time_point now) const
+bool control_process::implementation::all_linked_entries_reported(time_point now) const
 {
-    if (now - started_at < joint_start_bound || entries.empty())
+    if (now - started_at < simultaneous_start_tolerance || entries.empty())
     {
         return false;
     }
-    const std::set<std::string> linked_peers = links.reachable();
-    return std::all_of(linked_peers.begin(), linked_peers.end(),
+    const std::set<std::string> reachable_peers = links.reachable();
+    return std::all_of(reachable_peers.begin(), reachable_peers.end(),
                        [&](const std::string& peer)
                        {
                            const auto identity = links.identity(peer);
@@ -205,11 +207,11 @@
 int control_process::implementation::counted_entries(time_point now)
 {
     // Not for each of their reports: that would grow with the square of the entries.
-    if (now >= count_entries_at)
+    if (now >= next_entry_count_at)
     {
-        count_entries_at = now + count_entries_every;
+        next_entry_count_at = now + entry_count_interval;
         const duration age = pace().scaled(instance_age);
-        entry_count = knows_entries(now) ? publisher.heard_since(now - age) : 0;
+        entry_count = knows_all_entries(now) ? publisher.heard_since(now - age) : 0;
     }
     return entry_count;
 }
@@ -220,13 +222,13 @@
     return {catalog.state().revision(), counted_entries(now), pace().every().ms()};
 }
 
-void control_process::implementation::confirm_to_entries(time_point now)
+void control_process::implementation::confirm_revision_to_entries(time_point now)
 {
-    const bool answers = catalog.may_answer(now);
-    if (answers != answered)
+    const bool authoritative = catalog.may_answer(now);
+    if (authoritative != was_authoritative)
     {
         const quorum::replica* node = catalog.node();
-        log(log_level::info, answers ? "lease_held" : "lease_lost",
+        log(log_level::info, authoritative ? "lease_held" : "lease_lost",
             {{"term", node ? node->term() : 0},
              {"leads", node && node->is_ready_leader()},
              {"applied", catalog.applied()},
@@ -234,9 +236,9 @@
              {"members", node ? node->members().members.size() : 0},
              {"revision", catalog.state().revision()}});
     }
-    if (answers && !answered)
+    if (authoritative && !was_authoritative)
     {
-        const distribution::revision_confirmation word = confirmation(now);
+        const distribution::revision_confirmation confirmed = confirmation(now);
         std::vector<std::string> receivers;
         for (const std::string& peer : links.reachable())
         {
@@ -245,29 +247,29 @@
                 receivers.push_back(peer);
             }
         }
-        links.send(receivers, word);
+        links.send(receivers, confirmed);
     }
-    answered = answers;
+    was_authoritative = authoritative;
 }
 
 void control_process::implementation::on_reachable(const std::string& name, bool up)
 {
-    told_entries.erase(name);
+    sent_entry_lists.erase(name);
     if (!up)
     {
-        hub.on_lost(name);
+        registrations.on_lost(name);
         // It may come back with another folder.
         announced[catalog_log].erase(quorum::replica_name(name));
         announced[register_log].erase(quorum::replica_name(name));
         return;
     }
-    crashes.on_reachable(name, clock.now());
+    crash_records.on_reachable(name, clock.now());
     const auto identity = links.identity(name);
     if (identity && identity->role == "control")
     {
-        hub.on_reachable(name, clock.now());
+        registrations.on_reachable(name, clock.now());
     }
-    if (forms_itself())
+    if (is_self_forming())
     {
         const std::set<std::string> names = replica_names();
         links.send(name, control_members{{names.begin(), names.end()}});
@@ -291,32 +293,32 @@
     {
         log(log_level::warning, "was_suspended", {{"for_ms", span.ms()}});
     }
-    if (now >= tick_links_at)
+    if (now >= next_link_tick_at)
     {
-        tick_links_at = now + tick_links_every;
+        next_link_tick_at = now + link_tick_interval;
         links.tick();
     }
     catalog.tick(now);
     registers.tick(now);
     pump();
-    if (now >= notice_at)
+    if (now >= next_notice_at)
     {
-        notice_at = now + notice_every;
+        next_notice_at = now + notice_interval;
         send_notice(catalog, catalog_log);
         send_notice(registers, register_log);
-        keep_members(catalog, catalog_log, now);
-        keep_members(registers, register_log, now);
+        maintain_membership(catalog, catalog_log, now);
+        maintain_membership(registers, register_log, now);
     }
-    hub.tick(catalog.may_answer(now), now);
-    if (crashes.is_due(now))
+    registrations.tick(catalog.may_answer(now), now);
+    if (crash_records.is_due(now))
     {
-        crashes.tick(linked, entry_names(), now);
+        crash_records.tick(linked_replicas, entry_names(), now);
     }
-    if (catalog.may_answer(now) && knows_entries(now))
+    if (catalog.may_answer(now) && knows_all_entries(now))
     {
-        tell_entries(now);
+        send_entry_lists(now);
     }
-    timer.expires_after(std::chrono::microseconds(tick_every.us()));
+    timer.expires_after(std::chrono::microseconds(tick_interval.us()));
     timer.async_wait(
         [this](const boost::system::error_code& stopped)
         {
--- a/src/control/control_implementation.hpp
+++ b/src/control/control_implementation.hpp
@@ -55,10 +55,10 @@
 /// control_decisions.cpp, control_links.cpp, control_operators.cpp, control_process.cpp.
 struct control_process::implementation
 {
-    static http_server::limits limits_of(const control_settings& settings);
+    static http_server::limits http_limits_of(const control_settings& settings);
 
-    explicit implementation(control_settings wanted)
-        : settings(std::move(wanted)), strand(net::make_strand(io)), timer(strand),
+    explicit implementation(control_settings requested)
+        : settings(std::move(requested)), strand(net::make_strand(io)), timer(strand),
           signals(strand, SIGTERM, SIGINT, SIGHUP),
           links(hello{link_protocol_version, "control", settings.replica.name, draw64(),
                       settings.replica.region, settings.replica.availability_zone, settings.link.str()},
@@ -84,17 +84,19 @@
                   quorum::replica_name(settings.replica.name), settings.timing),
           registers(files, settings.data_folder + "/" + register_log,
                     quorum::replica_name(settings.replica.name), settings.timing),
-          hub(links, settings.data_folder + "/registrations", settings.registration_silence, clock.now()),
-          crashes(links, settings.data_folder + "/crash_records"), limits(settings.limit_tolerance),
-          keeper(settings.keeper), operators(io, limits_of(settings),
-                                             [this](const http_request& request, http_server::respond respond)
-                                             {
-                                                 net::post(strand,
-                                                           [this, request, respond]
-                                                           {
-                                                               on_operator(request, respond);
-                                                           });
-                                             })
+          registrations(links, settings.data_folder + "/registrations", settings.registration_silence,
+                        clock.now()),
+          crash_records(links, settings.data_folder + "/crash_records"),
+          rate_limits(settings.limit_tolerance), membership(settings.keeper),
+          operators(io, http_limits_of(settings),
+                    [this](const http_request& request, http_server::respond respond)
+                    {
+                        net::post(strand,
+                                  [this, request, respond]
+                                  {
+                                      on_operator(request, respond);
+                                  });
+                    })
     {
     }
 
@@ -110,55 +112,55 @@
     catalog_machine catalog;
     register_machine registers;
     distribution::publisher publisher;
-    registration_hub hub;
-    crash_hub crashes;
-    rate_limit_coordinator limits;
+    registration_hub registrations;
+    crash_hub crash_records;
+    rate_limit_coordinator rate_limits;
     /// As what this replica last kept the limits of teams.
-    struct limit_keeping
+    struct rate_limit_role
     {
-        bool stands_in = false;
+        bool is_substitute = false;
         quorum::term_number term = 0;
 
-        bool operator==(const limit_keeping&) const = default;
+        bool operator==(const rate_limit_role&) const = default;
     };
-    limit_keeping limits_kept;
+    rate_limit_role last_rate_limit_role;
     time_point leaderless_since = time_point::never();
-    time_point share_limits_at{};
-    quorum::member_keeper keeper;
+    time_point next_limit_share_at{};
+    quorum::member_keeper membership;
     http_server operators;
     std::unique_ptr<http_server> gateway;
-    time_point notice_at{};
+    time_point next_notice_at{};
     /// What the replicas that can be reached say they hold, by log and name.
     std::map<std::string, std::map<quorum::replica_name, quorum::announcement>> announced;
     /// Entries by name, and what each of them was last told of the others.
     std::map<std::string, entry_peer> entries;
-    std::map<std::string, std::shared_ptr<const std::vector<entry_peer>>> told_entries;
-    time_point tell_entries_at{};
+    std::map<std::string, std::shared_ptr<const std::vector<entry_peer>>> sent_entry_lists;
+    time_point next_entry_lists_at{};
     /// The entries heard lately, 0 while that isn't known, and when they are counted again.
     int entry_count = 0;
-    time_point count_entries_at{};
-    time_point tick_links_at{};
+    time_point next_entry_count_at{};
+    time_point next_link_tick_at{};
     /// The replicas that the hub was told of and that were linked to last.
-    std::set<std::string> linked;
+    std::set<std::string> linked_replicas;
     suspension_watch suspensions;
     bool pump_posted = false;
     /// Whether the catalog's replica gave no vote yet, when last looked at.
-    bool awaits_lease = false;
-    bool led = false;
-    time_point led_since{};
+    bool waits_for_previous_lease = false;
+    bool was_leader = false;
+    time_point leader_since{};
     const time_point started_at = clock.now();
-    bool answered = false;
+    bool was_authoritative = false;
     std::error_code reported_storage_error;
 
     // ------------------------------------------------------------------ decisions
 
     /// Commands that arrive before the pump runs share one sync.
-    void pump_soon();
+    void schedule_pump();
 
     void pump();
 
     /// @return whether the replica's own log names its peers
-    bool forms_itself() const;
+    bool is_self_forming() const;
 
     std::set<std::string> replica_names();
 
@@ -167,29 +169,30 @@
 
     /// A leader mends the member set; see quorum::member_keeper.
     template <typename Machine>
-    void keep_members(Machine& machine, const char* log_name, time_point now)
+    void maintain_membership(Machine& machine, const char* log_name, time_point now)
     {
         quorum::replica* node = machine.node();
-        if (node == nullptr || !forms_itself() || !node->is_ready_leader())
+        if (node == nullptr || !is_self_forming() || !node->is_ready_leader())
         {
             return;
         }
-        const auto wanted =
-            keeper.next(node->name(), node->members(), node->others(), announced[log_name], now);
-        if (!wanted)
+        const auto requested =
+            membership.next(node->name(), node->members(), node->others(), announced[log_name], now);
+        if (!requested)
         {
             return;
         }
-        const bool adds = wanted->what == quorum::member_change::kind::add;
-        const std::error_code refused = adds ? node->add_member(wanted->name, wanted->incarnation, now)
-                                             : node->remove_member(wanted->name, now);
+        const bool is_addition = requested->what == quorum::member_change::kind::add;
+        const std::error_code refused = is_addition
+                                            ? node->add_member(requested->name, requested->incarnation, now)
+                                            : node->remove_member(requested->name, now);
         if (!refused)
         {
             log(log_level::info, "members_mended",
                 {{"log", log_name},
-                 {"change", adds ? "add_learner" : "remove"},
-                 {"replica", wanted->name.str()},
-                 {"incarnation", wanted->incarnation},
+                 {"change", is_addition ? "add_learner" : "remove"},
+                 {"replica", requested->name.str()},
+                 {"incarnation", requested->incarnation},
                  {"term", node->term()}});
         }
     }
@@ -198,14 +201,14 @@
 
     void publish();
 
-    void note_changes();
+    void track_state_changes();
 
     /// Once this replica may answer, entries that wait for a leader's word get it unasked.
-    void confirm_to_entries(time_point now);
+    void confirm_revision_to_entries(time_point now);
 
-    bool knows_entries(time_point now) const;
+    bool knows_all_entries(time_point now) const;
 
-    bool all_linked_reported(time_point now) const;
+    bool all_linked_entries_reported(time_point now) const;
 
     int counted_entries(time_point now);
 
@@ -248,19 +251,19 @@
 
     /// Whether this replica keeps the limits of teams: the leader does, and while there is none the first of
     /// the replicas by name, so that two never do for entries that reach both.
-    bool keeps_limits(time_point now);
+    bool acts_as_rate_limit_coordinator(time_point now);
 
     /// Whether there has been no leader for a while, this replica is the first by name, and entries reach it.
-    bool stands_in_for_limits(time_point now);
+    bool substitutes_rate_limit_coordinator(time_point now);
 
     /// @return the share of the limits that this replica keeps, of entries that are so many in all
-    double limits_share(int all_entries, time_point now);
+    double reachable_limit_share(int all_entries, time_point now);
 
     /// Keeps the limits of teams over all entries.
     void on_limit_report(const hello& from, const limit_report& report, time_point now);
 
     /// A leader tells the entries of one another.
-    void tell_entries(time_point now);
+    void send_entry_lists(time_point now);
 
     void on_register_call(const hello& from, const register_call& call, time_point now);
 
@@ -276,14 +279,14 @@
     bool knows_zone(const std::string& zone) const;
 
     /// @return a finding where an evacuation names an availability zone that the settings don't
-    findings check_zone(const change& wanted) const;
+    findings check_availability_zone(const change& requested) const;
 
     static int status_of(const change_result& result);
 
     void on_change(const http_request& request, const http_server::respond& respond);
 
     /// Puts a change into the log; @a done is called once it is committed, or can't be known to be.
-    void submit(change wanted, std::function<void(std::error_code, const change_result&)> done);
+    void submit(change requested, std::function<void(std::error_code, const change_result&)> done);
 
     void on_signal();
 
@@ -307,40 +310,41 @@
     /// Makes the change if this replica leads the log, and asks the leader for it if not.
     /// @return nothing once the change is in this replica's log
     template <typename Machine>
-    std::error_code change_members(Machine& machine, const char* log_name, member_request wanted)
+    std::error_code change_members(Machine& machine, const char* log_name, member_request requested)
     {
-        const quorum::replica_name name(wanted.name);
+        const quorum::replica_name name(requested.name);
         quorum::replica* node = machine.node();
         if (node == nullptr)
         {
             return errc::storage_failed;
         }
         const auto& known = announced[log_name];
-        const auto holds = known.find(name);
-        const bool removes = wanted.action == "remove";
-        if (!removes && holds == known.end())
+        const auto announced_member = known.find(name);
+        const bool is_removal = requested.action == "remove";
+        if (!is_removal && announced_member == known.end())
         {
             return errc::unreachable;
         }
         if (leads(machine))
         {
-            return removes ? node->remove_member(name, clock.now())
-                           : node->add_member(name, holds->second.incarnation, clock.now());
+            return is_removal ? node->remove_member(name, clock.now())
+                              : node->add_member(name, announced_member->second.incarnation, clock.now());
         }
         const auto member = node->members().members.find(name);
         const bool is_member = member != node->members().members.end();
         const bool done =
-            removes ? !is_member : is_member && member->second.incarnation == holds->second.incarnation;
+            is_removal ? !is_member
+                       : is_member && member->second.incarnation == announced_member->second.incarnation;
         if (done)
         {
             return {};
         }
-        wanted.log = log_name;
-        links.send(node->leader().str(), wanted);
+        requested.log = log_name;
+        links.send(node->leader().str(), requested);
         return errc::not_committed;
     }
 
-    void on_member_request(const hello& from, const member_request& wanted);
+    void on_member_request(const hello& from, const member_request& requested);
 
     // ------------------------------------------------------------------ inspection
 
@@ -352,7 +356,7 @@
 
     /// Makes the seeds the voters of a new log, unless the folder holds one already.
     template <typename Machine>
-    void found_together(Machine& machine, const char* log_name)
+    void bootstrap_from_seeds(Machine& machine, const char* log_name)
     {
         quorum::member_set founders;
         for (const named_address& seed : settings.replicas)
@@ -368,26 +372,26 @@
     }
 
     template <typename Machine>
-    void open_machine(Machine& machine, const char* log_name, findings& found)
+    void open_machine(Machine& machine, const char* log_name, findings& errors)
     {
         const std::string folder = settings.data_folder + "/" + log_name;
         std::error_code failed;
         std::filesystem::create_directories(folder, failed);
         if (!failed)
         {
-            const bool founds = forms_itself() && settings.founding;
+            const bool bootstraps = is_self_forming() && settings.founding;
             const auto own = quorum::replica_name(settings.replica.name);
-            failed = machine.open(founds ? founding_incarnation(own) : draw64(), draw64(), clock.now());
+            failed = machine.open(bootstraps ? founding_incarnation(own) : draw64(), draw64(), clock.now());
         }
-        if (!failed && forms_itself() && settings.founding)
+        if (!failed && is_self_forming() && settings.founding)
         {
-            found_together(machine, log_name);
+            bootstrap_from_seeds(machine, log_name);
         }
         if (failed)
         {
-            found.error(failed.category() == error_category() ? static_cast<errc>(failed.value())
-                                                              : errc::storage_failed,
-                        "/data_folder", folder + ": " + failed.message());
+            errors.error(failed.category() == error_category() ? static_cast<errc>(failed.value())
+                                                               : errc::storage_failed,
+                         "/data_folder", folder + ": " + failed.message());
         }
         if (!machine.storage_warning().empty())
         {
--- a/src/control/control_links.cpp
+++ b/src/control/control_links.cpp
@@ -12,36 +12,36 @@
 /// An entry is named to the others for this long after its last report.
 constexpr duration listed_entry_age = duration::from_ms(4000);
 /// Entries are told of one another this often at most, so that many that start together make few messages.
-constexpr duration tell_entries_every = duration::from_ms(300);
-constexpr double tell_entries_share = 0.25;
+constexpr duration entry_list_interval = duration::from_ms(300);
+constexpr double entry_list_interval_share = 0.25;
 
 /// An entry that finds no leader reports to all replicas every second.
-constexpr duration stood_in_for_age = duration::from_ms(2500);
+constexpr duration substitute_report_age = duration::from_ms(2500);
 /// Elections mostly take less.
-constexpr duration stand_in_after = duration::from_ms(700);
-constexpr duration share_limits_every = duration::from_ms(200);
+constexpr duration substitute_after = duration::from_ms(700);
+constexpr duration limit_share_interval = duration::from_ms(200);
 
 /// @return what to tell an entry that knows @a before; all of it where it knows nothing
-entry_list change_of(const std::vector<entry_peer>* before, const std::vector<entry_peer>& now)
+entry_list entry_list_change(const std::vector<entry_peer>* previous, const std::vector<entry_peer>& now)
 {
     entry_list change;
-    if (before == nullptr)
+    if (previous == nullptr)
     {
         change.whole = true;
         change.items = now;
         return change;
     }
     // Both are sorted by name.
-    std::set_difference(now.begin(), now.end(), before->begin(), before->end(),
+    std::set_difference(now.begin(), now.end(), previous->begin(), previous->end(),
                         std::back_inserter(change.items));
-    for (const entry_peer& item : *before)
+    for (const entry_peer& item : *previous)
     {
-        const auto same = std::lower_bound(now.begin(), now.end(), item,
-                                           [](const entry_peer& a, const entry_peer& b)
-                                           {
-                                               return a.name < b.name;
-                                           });
-        if (same == now.end() || same->name != item.name)
+        const auto position = std::lower_bound(now.begin(), now.end(), item,
+                                               [](const entry_peer& a, const entry_peer& b)
+                                               {
+                                                   return a.name < b.name;
+                                               });
+        if (position == now.end() || position->name != item.name)
         {
             change.gone.push_back(item.name);
         }
@@ -64,7 +64,7 @@
         {
             registers.receive(envelope->message, now);
         }
-        pump_soon();
+        schedule_pump();
     }
     else if (const auto* notice = std::get_if<incarnation_notice>(&message))
     {
@@ -78,13 +78,13 @@
     {
         on_register_call(from, *call, now);
     }
-    else if (const auto* used = std::get_if<limit_report>(&message))
+    else if (const auto* usage_report = std::get_if<limit_report>(&message))
     {
-        on_limit_report(from, *used, now);
+        on_limit_report(from, *usage_report, now);
     }
-    else if (const auto* news = std::get_if<crash_news>(&message))
+    else if (const auto* crash_update = std::get_if<crash_news>(&message))
     {
-        crashes.on_news(from.name, *news, from.role == "control", now);
+        crash_records.on_news(from.name, *crash_update, from.role == "control", now);
     }
     else
     {
@@ -97,19 +97,19 @@
 {
     if (const auto* update = std::get_if<registration_update>(&message))
     {
-        hub.on_update(from.name, *update, now);
+        registrations.on_update(from.name, *update, now);
     }
-    else if (const auto* heard = std::get_if<registration_heard>(&message))
+    else if (const auto* receipts = std::get_if<registration_heard>(&message))
     {
-        hub.on_heartbeat_receipts(*heard, now);
+        registrations.on_heartbeat_receipts(*receipts, now);
     }
     else if (const auto* digest = std::get_if<registration_digest>(&message))
     {
-        hub.on_digest(from.name, *digest, now);
+        registrations.on_digest(from.name, *digest, now);
     }
-    else if (const auto* wanted = std::get_if<member_request>(&message))
+    else if (const auto* requested = std::get_if<member_request>(&message))
     {
-        on_member_request(from, *wanted);
+        on_member_request(from, *requested);
     }
 }
 
@@ -119,12 +119,12 @@
     publisher.on_report(instance_name(from.name), report, now);
     entries.insert_or_assign(from.name,
                              entry_peer{instance_name(from.name), from.region, from.zone, from.address});
-    const bool answers = catalog.may_answer(now);
-    if (answers)
+    const bool authoritative = catalog.may_answer(now);
+    if (authoritative)
     {
         links.send(from.name, confirmation(now));
     }
-    if (!answers || report.wants_updates)
+    if (!authoritative || report.wants_updates)
     {
         // A follower that lacks the revision sees by this whether it is on its way.
         const quorum::replica* node = catalog.node();
@@ -135,83 +135,83 @@
     publish();
 }
 
-bool control_process::implementation::stands_in_for_limits(time_point now)
+bool control_process::implementation::substitutes_rate_limit_coordinator(time_point now)
 {
-    return forms_itself() && now - leaderless_since >= stand_in_after &&
+    return is_self_forming() && now - leaderless_since >= substitute_after &&
            *replica_names().begin() == settings.replica.name &&
-           publisher.heard_since(now - stood_in_for_age) > 0;
+           publisher.heard_since(now - substitute_report_age) > 0;
 }
 
-bool control_process::implementation::keeps_limits(time_point now)
+bool control_process::implementation::acts_as_rate_limit_coordinator(time_point now)
 {
     const quorum::replica* node = catalog.node();
     const bool leads = catalog.may_answer(now);
-    const bool stands_in = !leads && stands_in_for_limits(now);
-    if (!leads && !stands_in)
+    const bool is_substitute = !leads && substitutes_rate_limit_coordinator(now);
+    if (!leads && !is_substitute)
     {
         return false;
     }
     // A leader that lost its lease for a moment has it back in the same term: nobody else kept the limits.
-    const limit_keeping keeping{stands_in, node->term()};
-    if (!(keeping == limits_kept))
+    const rate_limit_role role_now{is_substitute, node->term()};
+    if (!(role_now == last_rate_limit_role))
     {
-        limits_kept = keeping;
-        log(log_level::info, "keeps_limits", {{"leads", leads}, {"term", keeping.term}});
-        limits.restart(now);
+        last_rate_limit_role = role_now;
+        log(log_level::info, "keeps_limits", {{"leads", leads}, {"term", role_now.term}});
+        rate_limits.restart(now);
     }
     return true;
 }
 
-double control_process::implementation::limits_share(int all_entries, time_point now)
+double control_process::implementation::reachable_limit_share(int all_entries, time_point now)
 {
     // Who leads has a majority behind it; who stands in may be cut off from most entries.
     if (catalog.may_answer(now) || all_entries <= 0)
     {
         return 1.0;
     }
-    const int heard = publisher.heard_since(now - stood_in_for_age);
-    return std::min(static_cast<double>(heard) / all_entries, 1.0);
+    const int reporting_entries = publisher.heard_since(now - substitute_report_age);
+    return std::min(static_cast<double>(reporting_entries) / all_entries, 1.0);
 }
 
 void control_process::implementation::on_limit_report(const hello& from, const limit_report& report,
                                                       time_point now)
 {
-    if (!keeps_limits(now))
+    if (!acts_as_rate_limit_coordinator(now))
     {
         // Another replica does, or none; the entry goes on alone until it finds out.
         return;
     }
-    if (now >= share_limits_at)
+    if (now >= next_limit_share_at)
     {
-        share_limits_at = now + share_limits_every;
-        limits.set_limit_share(limits_share(report.entries, now), now);
+        next_limit_share_at = now + limit_share_interval;
+        rate_limits.set_limit_share(reachable_limit_share(report.entries, now), now);
     }
-    links.send(from.name, limits.on_report(report, now));
-    if (!limits.has_status_updates())
+    links.send(from.name, rate_limits.on_report(report, now));
+    if (!rate_limits.has_status_updates())
     {
         return;
     }
-    const limit_update news = limits.take_status_updates(now);
+    const limit_update status_update = rate_limits.take_status_updates(now);
     const std::vector<std::string> receivers = entry_names();
-    for (const limit_status& told : news.statuses)
+    for (const limit_status& status : status_update.statuses)
     {
         log(log_level::info, "team_limited",
-            {{"team", told.team.str()},
-             {"tokens", limits.tokens(told.team, now)},
-             {"dry_ms", told.exhausted_for.ms()},
+            {{"team", status.team.str()},
+             {"tokens", rate_limits.tokens(status.team, now)},
+             {"dry_ms", status.exhausted_for.ms()},
              {"told", receivers.size()}});
     }
-    links.send(receivers, news);
+    links.send(receivers, status_update);
 }
 
-void control_process::implementation::tell_entries(time_point now)
+void control_process::implementation::send_entry_lists(time_point now)
 {
-    if (now < tell_entries_at)
+    if (now < next_entry_lists_at)
     {
         return;
     }
     // Whoever comes or goes is a message to each.
-    tell_entries_at = now + std::max(tell_entries_every, pace().every() * tell_entries_share);
+    next_entry_lists_at = now + std::max(entry_list_interval, pace().every() * entry_list_interval_share);
     std::vector<entry_peer> present;
     for (const auto& [name, known] : publisher.instances())
     {
@@ -226,11 +226,11 @@
     std::map<std::shared_ptr<const std::vector<entry_peer>>, std::vector<std::string>> receivers;
     for (const entry_peer& item : *shared)
     {
-        receivers[told_entries[item.name.str()]].push_back(item.name.str());
+        receivers[sent_entry_lists[item.name.str()]].push_back(item.name.str());
     }
-    for (const auto& [told, names] : receivers)
+    for (const auto& [previous_list, names] : receivers)
     {
-        const entry_list change = change_of(told.get(), *shared);
+        const entry_list change = entry_list_change(previous_list.get(), *shared);
         if (!change.whole && change.items.empty() && change.gone.empty())
         {
             continue;
@@ -238,7 +238,7 @@
         links.send(names, change);
         for (const std::string& name : names)
         {
-            told_entries[name] = shared;
+            sent_entry_lists[name] = shared;
         }
     }
 }
@@ -264,26 +264,26 @@
             links.send(to, returned);
         },
         now);
-    pump_soon();
+    schedule_pump();
 }
 
-void control_process::implementation::on_member_request(const hello& from, const member_request& wanted)
+void control_process::implementation::on_member_request(const hello& from, const member_request& requested)
 {
-    const bool for_catalog = wanted.log == catalog_log;
+    const bool for_catalog = requested.log == catalog_log;
     if (!(for_catalog ? leads(catalog) : leads(registers)))
     {
         // The asker tries again, with whom it then takes for the leader.
         return;
     }
-    const std::error_code refused = for_catalog ? change_members(catalog, catalog_log, wanted)
-                                                : change_members(registers, register_log, wanted);
+    const std::error_code refused = for_catalog ? change_members(catalog, catalog_log, requested)
+                                                : change_members(registers, register_log, requested);
     log(log_level::info, "members_changed",
-        {{"log", wanted.log},
-         {"action", wanted.action},
-         {"replica", wanted.name},
+        {{"log", requested.log},
+         {"action", requested.action},
+         {"replica", requested.name},
          {"asked_by", from.name},
          {"result", refused ? refused.message() : "accepted"}});
-    pump_soon();
+    schedule_pump();
 }
 
 } // namespace flaxtiller::shell
--- a/src/control/control_operators.cpp
+++ b/src/control/control_operators.cpp
@@ -68,13 +68,13 @@
     const nlohmann::json j = nlohmann::json::parse(request.body, nullptr, false);
     try
     {
-        change wanted = j.get<change>();
-        if (wanted.id.empty())
+        change requested = j.get<change>();
+        if (requested.id.empty())
         {
             refusal = error_reply(http_bad_request, errc::missing_key, "/id must not be empty");
             return std::nullopt;
         }
-        return wanted;
+        return requested;
     }
     catch (const nlohmann::json::exception& malformed)
     {
@@ -89,21 +89,21 @@
     return !zone.empty() && (known.empty() || known.count(zone) > 0);
 }
 
-findings control_process::implementation::check_zone(const change& wanted) const
+findings control_process::implementation::check_availability_zone(const change& requested) const
 {
-    findings found;
-    if (wanted.kind != change_kind::evacuate || !wanted.body.is_object())
+    findings errors;
+    if (requested.kind != change_kind::evacuate || !requested.body.is_object())
     {
-        return found;
+        return errors;
     }
-    const auto zone = wanted.body.find("availability_zone");
-    const bool names = zone != wanted.body.end() && zone->is_string();
+    const auto zone = requested.body.find("availability_zone");
+    const bool names = zone != requested.body.end() && zone->is_string();
     if (names && !knows_zone(*zone))
     {
-        found.error(errc::unknown_name, "/body/availability_zone",
-                    "no availability zone of this name is in the settings");
+        errors.error(errc::unknown_name, "/body/availability_zone",
+                     "no availability zone of this name is in the settings");
     }
-    return found;
+    return errors;
 }
 
 int control_process::implementation::status_of(const change_result& result)
@@ -125,20 +125,20 @@
                                                 const http_server::respond& respond)
 {
     http_reply refusal;
-    auto wanted = read_change(request, refusal);
-    if (!wanted)
+    auto requested = read_change(request, refusal);
+    if (!requested)
     {
         respond(refusal);
         return;
     }
-    const findings found = check_zone(*wanted);
-    if (found.has_errors())
+    const findings errors = check_availability_zone(*requested);
+    if (errors.has_errors())
     {
-        respond(json_reply(http_bad_request, change_result{change_status::invalid, 0, {}, found}));
+        respond(json_reply(http_bad_request, change_result{change_status::invalid, 0, {}, errors}));
         return;
     }
-    submit(std::move(*wanted),
-           [this, respond](std::error_code failed, const change_result& decided)
+    submit(std::move(*requested),
+           [this, respond](std::error_code failed, const change_result& outcome)
            {
                if (failed == make_error_code(errc::not_leader))
                {
@@ -150,21 +150,21 @@
                }
                else
                {
-                   respond(json_reply(status_of(decided), decided));
+                   respond(json_reply(status_of(outcome), outcome));
                }
            });
 }
 
-void control_process::implementation::submit(change wanted,
+void control_process::implementation::submit(change requested,
                                              std::function<void(std::error_code, const change_result&)> done)
 {
     const std::int64_t held = catalog.state().current().version;
-    if (wanted.version > 0 && wanted.version <= held && catalog.may_answer(clock.now()))
+    if (requested.version > 0 && requested.version <= held && catalog.may_answer(clock.now()))
     {
         // Decided already, and a majority has what it was overtaken by.
         log(log_level::info, "change",
-            {{"id", wanted.id.str()},
-             {"version", wanted.version},
+            {{"id", requested.id.str()},
+             {"version", requested.version},
              {"status", "superseded"},
              {"held", held},
              {"revision", catalog.state().revision()}});
@@ -173,29 +173,29 @@
     }
     if (catalog.state().current().key_secret.empty())
     {
-        add_key_secret(wanted);
+        add_key_secret(requested);
     }
     std::string bytes;
-    nlohmann::json::to_cbor(nlohmann::json(wanted), bytes);
+    nlohmann::json::to_cbor(nlohmann::json(requested), bytes);
     catalog.propose(
         std::move(bytes),
-        [id = wanted.id, version = wanted.version, done = std::move(done)](std::error_code failed,
-                                                                           const std::string& result)
+        [id = requested.id, version = requested.version, done = std::move(done)](std::error_code failed,
+                                                                                 const std::string& result)
         {
-            change_result decided;
+            change_result outcome;
             if (!failed)
             {
-                decided = nlohmann::json::from_cbor(result).get<change_result>();
+                outcome = nlohmann::json::from_cbor(result).get<change_result>();
             }
             log(log_level::info, "change",
                 {{"id", id.str()},
                  {"version", version},
-                 {"status", failed ? failed.message() : nlohmann::json(decided.status).get<std::string>()},
-                 {"revision", decided.revision}});
-            done(failed, decided);
+                 {"status", failed ? failed.message() : nlohmann::json(outcome.status).get<std::string>()},
+                 {"revision", outcome.revision}});
+            done(failed, outcome);
         },
         clock.now());
-    pump_soon();
+    schedule_pump();
 }
 
 void control_process::implementation::on_signal()
@@ -222,8 +222,8 @@
                                                  const http_server::respond& respond)
 {
     http_reply refusal;
-    const auto wanted = read_change(request, refusal);
-    if (!wanted)
+    const auto requested = read_change(request, refusal);
+    if (!requested)
     {
         respond(refusal);
         return;
@@ -233,34 +233,34 @@
         respond(not_leader());
         return;
     }
-    catalog_state trial = catalog.state();
-    const change_result decided = trial.apply(*wanted);
-    nlohmann::json body = decided;
-    body["difference"] = diff(catalog.state().current(), trial.current());
-    body["moved_shards"] = moved_shards(catalog.state().current(), trial.current());
-    respond(json_reply(status_of(decided), body));
+    catalog_state preview_state = catalog.state();
+    const change_result outcome = preview_state.apply(*requested);
+    nlohmann::json body = outcome;
+    body["difference"] = diff(catalog.state().current(), preview_state.current());
+    body["moved_shards"] = moved_shards(catalog.state().current(), preview_state.current());
+    respond(json_reply(status_of(outcome), body));
 }
 
 nlohmann::json control_process::implementation::moved_shards(const configuration& before,
                                                              const configuration& after)
 {
-    nlohmann::json moved = nlohmann::json::array();
-    const placement old_placed = place(0, before);
-    const placement new_placed = place(0, after);
-    for (const auto& [name, service] : new_placed.services)
+    nlohmann::json moved_list = nlohmann::json::array();
+    const placement old_placement = place(0, before);
+    const placement new_placement = place(0, after);
+    for (const auto& [name, service] : new_placement.services)
     {
-        const auto known = old_placed.services.find(name);
+        const auto known = old_placement.services.find(name);
         for (std::size_t shard = 0; shard < service->shards.size(); ++shard)
         {
-            const bool same = known != old_placed.services.end() && shard < known->second->shards.size() &&
+            const bool same = known != old_placement.services.end() && shard < known->second->shards.size() &&
                               known->second->shards[shard] == service->shards[shard];
             if (!same)
             {
-                moved.push_back({{"service", name}, {"shard", shard}});
+                moved_list.push_back({{"service", name}, {"shard", shard}});
             }
         }
     }
-    return moved;
+    return moved_list;
 }
 
 void control_process::implementation::on_configuration(const http_server::respond& respond)
@@ -322,10 +322,10 @@
         return;
     }
     // Each log has a leader of its own: what this replica doesn't lead, its leader is asked for.
-    const member_request wanted{{}, action, name};
-    const std::error_code first = change_members(catalog, catalog_log, wanted);
-    const std::error_code second = change_members(registers, register_log, wanted);
-    pump_soon();
+    const member_request requested{{}, action, name};
+    const std::error_code first = change_members(catalog, catalog_log, requested);
+    const std::error_code second = change_members(registers, register_log, requested);
+    schedule_pump();
     if (const std::error_code refused = first ? first : second)
     {
         respond(error_reply(http_unavailable, static_cast<errc>(refused.value()), "try again"));
@@ -348,7 +348,7 @@
                         {"reachable_peers", links.reachable()},
                         {"catalog", dump_of(catalog, clock.now())},
                         {"register", dump_of(registers, clock.now())},
-                        {"crash_records", crashes.known().all(1, clock.now())},
+                        {"crash_records", crash_records.known().all(1, clock.now())},
                         {"metrics", counted.dump()}};
     return j;
 }
--- a/src/control/control_process.cpp
+++ b/src/control/control_process.cpp
@@ -7,7 +7,7 @@
 namespace flaxtiller::shell
 {
 
-http_server::limits control_process::implementation::limits_of(const control_settings& settings)
+http_server::limits control_process::implementation::http_limits_of(const control_settings& settings)
 {
     http_server::limits limits;
     limits.most_body_bytes = static_cast<std::size_t>(settings.most_request_bytes);
@@ -25,45 +25,45 @@
 findings control_process::open()
 {
     implementation& self = *m_implementation;
-    findings found;
-    self.open_machine(self.catalog, catalog_log, found);
-    self.open_machine(self.registers, register_log, found);
-    self.hub.load();
-    self.crashes.load(self.clock.now());
-    return found;
+    findings errors;
+    self.open_machine(self.catalog, catalog_log, errors);
+    self.open_machine(self.registers, register_log, errors);
+    self.registrations.load();
+    self.crash_records.load(self.clock.now());
+    return errors;
 }
 
-findings control_process::found_logs()
+findings control_process::bootstrap_logs()
 {
     implementation& self = *m_implementation;
-    findings found;
+    findings errors;
     const time_point now = self.clock.now();
     const std::error_code failed =
         self.catalog.found(now) ? make_error_code(errc::storage_foreign) : self.registers.found(now);
     if (failed)
     {
-        found.error(static_cast<errc>(failed.value()), "/data_folder",
-                    "isn't empty; a log is founded once, on one replica");
+        errors.error(static_cast<errc>(failed.value()), "/data_folder",
+                     "isn't empty; a log is founded once, on one replica");
     }
-    return found;
+    return errors;
 }
 
 int control_process::run()
 {
     implementation& self = *m_implementation;
-    findings found;
+    findings errors;
     if (self.operators.listen(self.settings.operators))
     {
-        found.error(errc::address_in_use, "/listen/operators", self.settings.operators.str());
+        errors.error(errc::address_in_use, "/listen/operators", self.settings.operators.str());
     }
-    std::string why;
-    if (!self.links.listen(self.settings.link, why))
+    std::string reason;
+    if (!self.links.listen(self.settings.link, reason))
     {
-        found.error(errc::address_in_use, "/listen/link", self.settings.link.str() + ": " + why);
+        errors.error(errc::address_in_use, "/listen/link", self.settings.link.str() + ": " + reason);
     }
-    if (found.has_errors())
+    if (errors.has_errors())
     {
-        fmt::print(stderr, "{}", found.to_text());
+        fmt::print(stderr, "{}", errors.to_text());
         return 1;
     }
     self.links.want(self.settings.replicas);
@@ -84,9 +84,9 @@
 findings control_process::serve(const address& at, gateway_handler handler)
 {
     implementation& self = *m_implementation;
-    findings found;
+    findings errors;
     self.gateway = std::make_unique<http_server>(
-        self.io, implementation::limits_of(self.settings),
+        self.io, implementation::http_limits_of(self.settings),
         [this, &self, handler = std::move(handler)](const http_request& request, http_server::respond respond)
         {
             net::post(self.strand,
@@ -97,14 +97,15 @@
         });
     if (self.gateway->listen(at))
     {
-        found.error(errc::address_in_use, "/listen", at.str());
+        errors.error(errc::address_in_use, "/listen", at.str());
     }
-    return found;
+    return errors;
 }
 
-void control_process::submit(change wanted, std::function<void(std::error_code, const change_result&)> done)
+void control_process::submit(change requested,
+                             std::function<void(std::error_code, const change_result&)> done)
 {
-    m_implementation->submit(std::move(wanted), std::move(done));
+    m_implementation->submit(std::move(requested), std::move(done));
 }
 
 const configuration* control_process::current() const
@@ -130,14 +131,14 @@
     return m_implementation->knows_zone(zone);
 }
 
-void control_process::heartbeat(const registration& said)
+void control_process::heartbeat(const registration& report)
 {
-    m_implementation->hub.on_heartbeat(said, m_implementation->clock.now());
+    m_implementation->registrations.on_heartbeat(report, m_implementation->clock.now());
 }
 
-void control_process::leave(const backend_server_name& id, std::int64_t born_ms)
+void control_process::deregister(const backend_server_name& id, std::int64_t born_ms)
 {
-    m_implementation->hub.on_leave(id, born_ms, m_implementation->clock.now());
+    m_implementation->registrations.on_leave(id, born_ms, m_implementation->clock.now());
 }
 
 } // namespace flaxtiller::shell
--- a/src/control/control_process.hpp
+++ b/src/control/control_process.hpp
@@ -26,7 +26,7 @@
     findings open();
 
     /// @brief Makes this replica's empty folders the first and only member of new logs.
-    findings found_logs();
+    findings bootstrap_logs();
 
     /// @brief Serves until it is told to stop by SIGTERM or SIGINT.
     /// @return the exit status
@@ -42,7 +42,7 @@
     findings serve(const address& at, gateway_handler handler);
 
     /// @brief Puts a change into the log; @a done is called once it is committed, or can't be known to be.
-    void submit(change wanted, std::function<void(std::error_code, const change_result&)> done);
+    void submit(change requested, std::function<void(std::error_code, const change_result&)> done);
 
     /// @return the present configuration, if this replica can be sure that it is the present one
     const configuration* current() const;
@@ -57,11 +57,11 @@
     bool knows_zone(const std::string& zone) const;
 
     /// @brief A backend server's heartbeat.
-    void heartbeat(const registration& said);
+    void heartbeat(const registration& report);
 
     /// @brief A backend server's last word.
     /// @param born_ms which of its lives ends; 0 for the one that is known
-    void leave(const backend_server_name& id, std::int64_t born_ms);
+    void deregister(const backend_server_name& id, std::int64_t born_ms);
 
   private:
     struct implementation;
