--- a/src/control/control_decisions.cpp
+++ b/src/control/control_decisions.cpp
@@ -12,15 +12,16 @@
 constexpr duration tick_interval = duration::from_ms(10);
 constexpr duration notice_interval = duration::from_ms(1000);
 constexpr duration entry_count_interval = duration::from_ms(100);
-/// Each look goes through all links; well within the first pause between two tries to make one.
+/// Each tick visits all links. The interval is much shorter than the first pause between two connection
+/// attempts.
 constexpr duration link_tick_interval = duration::from_ms(20);
-/// Entries notice that a leader is lost after two or three reports, a second each, and then report to all
-/// replicas.
+/// The time in which all entries have reported to a new leader. Entries detect the loss of a leader after two
+/// or three reports, which are one second apart, and then report to all replicas.
 constexpr duration report_grace_period = duration::from_ms(3500);
-/// After a start of all, links and first reports take less than this.
+/// The same after a simultaneous start of all processes: links and first reports take less time.
 constexpr duration startup_report_grace_period = duration::from_ms(700);
 constexpr duration startup_period = duration::from_ms(6000);
-/// Processes that start together do so within less than this, their first links included.
+/// The longest time between the starts of processes that start together, including their first links.
 constexpr duration simultaneous_start_tolerance = duration::from_ms(1000);
 
 } // namespace
@@ -122,7 +123,7 @@
     const catalog_state& state = catalog.state();
     if (state.revision() > publisher.revision())
     {
-        // Entries recognize callers' keys by digests.
+        // Entries get digests in place of the keys of callers.
         configuration for_entries = state.current().without_keys();
         if (const auto previous = publisher.present())
         {
@@ -132,7 +133,7 @@
         publisher.on_revision(state.revision(),
                               std::make_shared<const configuration>(std::move(for_entries)));
     }
-    // What is committed may be told by any replica; only a leader says that it is the present revision.
+    // Any replica may send committed revisions, but only a leader confirms that a revision is current.
     std::map<std::shared_ptr<const distribution::revision_update>, std::vector<std::string>> receivers;
     for (const auto& item : publisher.take_updates(now))
     {
@@ -173,8 +174,9 @@
     }
 }
 
-/// Whether entries have had the time to report to this replica since it leads: while they know a leader they
-/// report to that one only. All started together report to every replica from the start.
+/// @return whether the entries have had enough time to report to this replica since it became the leader.
+/// Entries that know a leader report only to that leader, while entries that start together with the replicas
+/// report to every replica from the start.
 bool control_process::implementation::knows_all_entries(time_point now) const
 {
     const bool recently_started = leader_since - started_at < startup_period;
@@ -184,10 +186,10 @@
            (now - leader_since >= bound || (recently_started && all_linked_entries_reported(now)));
 }
 
-/// Whether each entry that has a link to this replica reported to it since it started. Until entries know how
-/// many they are, each takes one connection to a backend server and runs all shards itself: 0.7 s of the
-/// return of 65 instances after a loss of power. An entry that goes on while this replica restarts has a
-/// link, but reports to another one.
+/// @return whether each entry that has a link to this replica has reported to it since its start. Entries
+/// that don't know their number use one connection per backend server and execute all shards themselves,
+/// which cost 0.7 s of the recovery of 65 instances from a power loss. An entry that kept running while this
+/// replica restarted has a link to this replica, but reports to another one.
 bool control_process::implementation::all_linked_entries_reported(time_point now) const
 {
     if (now - started_at < simultaneous_start_tolerance || entries.empty())
@@ -203,10 +205,10 @@
                        });
 }
 
-/// @return the entries heard lately; 0 while that isn't known
+/// @return the number of entries that reported recently; 0 if unknown
 int control_process::implementation::counted_entries(time_point now)
 {
-    // Not for each of their reports: that would grow with the square of the entries.
+    // Counting at each report would make the cost grow with the square of the number of entries.
     if (now >= next_entry_count_at)
     {
         next_entry_count_at = now + entry_count_interval;
@@ -216,7 +218,8 @@
     return entry_count;
 }
 
-/// Said under the lease: no other replica can have accepted a later revision.
+/// The confirmation is valid while this replica holds the lease, since no other replica can accept a later
+/// revision.
 distribution::revision_confirmation control_process::implementation::confirmation(time_point now)
 {
     return {catalog.state().revision(), counted_entries(now), pace().every().ms()};
@@ -258,7 +261,7 @@
     if (!up)
     {
         registrations.on_lost(name);
-        // It may come back with another folder.
+        // The replica may return with another data folder.
         announced[catalog_log].erase(quorum::replica_name(name));
         announced[register_log].erase(quorum::replica_name(name));
         return;
--- a/src/control/control_implementation.hpp
+++ b/src/control/control_implementation.hpp
@@ -41,18 +41,21 @@
 
 namespace net = boost::asio;
 
-/// The names of the two replicated logs, between processes and as folders.
+/// The names of the two replicated logs in messages between processes, which are also their folder names.
 inline constexpr const char* catalog_log = "catalog";
 inline constexpr const char* register_log = "register";
 
-/// An instance counts as sharing the backend servers for this long after its last report.
+/// An instance is counted among those that share the backend servers for this time after its last report.
 inline constexpr duration instance_age = duration::from_ms(10000);
 
 using catalog_machine = quorum::replicated_machine<catalog_state, quorum::posix_file_system>;
 using register_machine = quorum::replicated_machine<register_state, quorum::posix_file_system>;
 
-/// @brief The parts of a control process and how they hang together. Its members are defined by job:
-/// control_decisions.cpp, control_links.cpp, control_operators.cpp, control_process.cpp.
+/// @brief The components of a control process and their connections.
+///
+/// All member functions run on one strand. The member functions are defined by topic: state changes and
+/// timers in control_decisions.cpp, messages of other processes in control_links.cpp, the HTTP interface for
+/// operators in control_operators.cpp, and the public functions of the process in control_process.cpp.
 struct control_process::implementation
 {
     static http_server::limits http_limits_of(const control_settings& settings);
@@ -115,7 +118,8 @@
     registration_hub registrations;
     crash_hub crash_records;
     rate_limit_coordinator rate_limits;
-    /// As what this replica last kept the limits of teams.
+    /// The role in which this replica acted as the rate limit coordinator: as the leader of a term, or as the
+    /// substitute while there is no leader.
     struct rate_limit_role
     {
         bool is_substitute = false;
@@ -130,21 +134,22 @@
     http_server operators;
     std::unique_ptr<http_server> gateway;
     time_point next_notice_at{};
-    /// What the replicas that can be reached say they hold, by log and name.
+    /// The announcements of the reachable replicas about their log folders, by log and name.
     std::map<std::string, std::map<quorum::replica_name, quorum::announcement>> announced;
-    /// Entries by name, and what each of them was last told of the others.
+    /// The entries by name, and the list of all entries that was last sent to each of them.
     std::map<std::string, entry_peer> entries;
     std::map<std::string, std::shared_ptr<const std::vector<entry_peer>>> sent_entry_lists;
     time_point next_entry_lists_at{};
-    /// The entries heard lately, 0 while that isn't known, and when they are counted again.
+    /// The number of entries that reported recently, 0 if unknown, and the time of the next count.
     int entry_count = 0;
     time_point next_entry_count_at{};
     time_point next_link_tick_at{};
-    /// The replicas that the hub was told of and that were linked to last.
+    /// The replicas for which links were last requested, and that the registrations are exchanged with.
     std::set<std::string> linked_replicas;
     suspension_watch suspensions;
     bool pump_posted = false;
-    /// Whether the catalog's replica gave no vote yet, when last looked at.
+    /// Whether the replica of the catalog granted no votes yet, at the last check, since a lease that it
+    /// supported before its restart may still be valid.
     bool waits_for_previous_lease = false;
     bool was_leader = false;
     time_point leader_since{};
@@ -152,22 +157,23 @@
     bool was_authoritative = false;
     std::error_code reported_storage_error;
 
-    // ------------------------------------------------------------------ decisions
+    // ------------------------------------------------------------------ state changes and timers
 
-    /// Commands that arrive before the pump runs share one sync.
+    /// Schedules @ref pump. Commands that arrive before it runs share one sync to disk.
     void schedule_pump();
 
     void pump();
 
-    /// @return whether the replica's own log names its peers
+    /// @return whether the log itself defines the member set, instead of the settings
     bool is_self_forming() const;
 
     std::set<std::string> replica_names();
 
-    /// Where the set forms itself, a replica's name is its link's address.
+    /// Requests links to all members. In a self-forming set, the name of a replica is the address of its
+    /// link.
     void link_to_members();
 
-    /// A leader mends the member set; see quorum::member_keeper.
+    /// Repairs the member set if this replica leads. See quorum::member_keeper.
     template <typename Machine>
     void maintain_membership(Machine& machine, const char* log_name, time_point now)
     {
@@ -203,7 +209,8 @@
 
     void track_state_changes();
 
-    /// Once this replica may answer, entries that wait for a leader's word get it unasked.
+    /// Sends a confirmation of the revision to the entries when this replica becomes authoritative, as they
+    /// may be waiting for the confirmation of a leader.
     void confirm_revision_to_entries(time_point now);
 
     bool knows_all_entries(time_point now) const;
@@ -212,7 +219,7 @@
 
     int counted_entries(time_point now);
 
-    /// How often entries report to this replica while it leads.
+    /// @return the interval at which entries report to this replica while it leads
     distribution::report_pace pace() const noexcept
     {
         return distribution::report_pace(entry_count);
@@ -249,20 +256,22 @@
 
     void on_report(const hello& from, const distribution::revision_report& report, time_point now);
 
-    /// Whether this replica keeps the limits of teams: the leader does, and while there is none the first of
-    /// the replicas by name, so that two never do for entries that reach both.
+    /// @return whether this replica acts as the rate limit coordinator. The leader does; without a leader,
+    /// the first of the replicas by name does, so that entries never find two coordinators among the replicas
+    /// that they reach.
     bool acts_as_rate_limit_coordinator(time_point now);
 
-    /// Whether there has been no leader for a while, this replica is the first by name, and entries reach it.
+    /// @return whether this replica substitutes the rate limit coordinator: no leader has been known for a
+    /// while, this replica is the first one by name, and entries reach it
     bool substitutes_rate_limit_coordinator(time_point now);
 
-    /// @return the share of the limits that this replica keeps, of entries that are so many in all
+    /// @return the share of the limits that this replica may grant, given the number of all entries
     double reachable_limit_share(int all_entries, time_point now);
 
-    /// Keeps the limits of teams over all entries.
+    /// Handles the report of an entry if this replica acts as the rate limit coordinator.
     void on_limit_report(const hello& from, const limit_report& report, time_point now);
 
-    /// A leader tells the entries of one another.
+    /// Sends the list of all entries, or its changes, to each entry. For leaders only.
     void send_entry_lists(time_point now);
 
     void on_register_call(const hello& from, const register_call& call, time_point now);
@@ -275,17 +284,18 @@
 
     static std::optional<change> read_change(const http_request& request, http_reply& refusal);
 
-    /// @return whether the settings name this availability zone; true for all where they name none
+    /// @return whether the settings contain this availability zone; true for any name if they contain none
     bool knows_zone(const std::string& zone) const;
 
-    /// @return a finding where an evacuation names an availability zone that the settings don't
+    /// @return an error if the change evacuates an availability zone that the settings don't contain
     findings check_availability_zone(const change& requested) const;
 
     static int status_of(const change_result& result);
 
     void on_change(const http_request& request, const http_server::respond& respond);
 
-    /// Puts a change into the log; @a done is called once it is committed, or can't be known to be.
+    /// Proposes a change to the catalog log. @a done is called when the change is committed, or with an error
+    /// when that is uncertain.
     void submit(change requested, std::function<void(std::error_code, const change_result&)> done);
 
     void on_signal();
@@ -307,8 +317,9 @@
         return node != nullptr && node->role() == quorum::role::leader;
     }
 
-    /// Makes the change if this replica leads the log, and asks the leader for it if not.
-    /// @return nothing once the change is in this replica's log
+    /// Changes the member set if this replica leads the log, and forwards the request to the leader
+    /// otherwise.
+    /// @return no error if the change is in the log of this replica
     template <typename Machine>
     std::error_code change_members(Machine& machine, const char* log_name, member_request requested)
     {
@@ -350,11 +361,12 @@
 
     nlohmann::json dump();
 
-    /// The founders' incarnations are known to all of them beforehand. A folder that is made later draws its
-    /// own, so that a wiped founder doesn't pass for the first one.
+    /// @return the incarnation of an initial member, which all initial members can compute. A folder that is
+    /// created later gets a random incarnation, so that a wiped initial member isn't taken for the original
+    /// one.
     static quorum::incarnation_id founding_incarnation(const quorum::replica_name& name);
 
-    /// Makes the seeds the voters of a new log, unless the folder holds one already.
+    /// Creates a new log with the seeds of the settings as its voters, unless the folder contains a log.
     template <typename Machine>
     void bootstrap_from_seeds(Machine& machine, const char* log_name)
     {
--- a/src/control/control_links.cpp
+++ b/src/control/control_links.cpp
@@ -9,19 +9,23 @@
 namespace
 {
 
-/// An entry is named to the others for this long after its last report.
+/// An entry stays in the list of entries for this time after its last report.
 constexpr duration listed_entry_age = duration::from_ms(4000);
-/// Entries are told of one another this often at most, so that many that start together make few messages.
+/// The minimum interval between two lists of entries, so that the simultaneous start of many entries causes
+/// few messages, and the same as a share of the report interval.
 constexpr duration entry_list_interval = duration::from_ms(300);
 constexpr double entry_list_interval_share = 0.25;
 
-/// An entry that finds no leader reports to all replicas every second.
+/// Entries that reported within this time count as reaching a substitute. An entry without a leader reports
+/// to all replicas once per second.
 constexpr duration substitute_report_age = duration::from_ms(2500);
-/// Elections mostly take less.
+/// The time without a leader after which a replica substitutes the rate limit coordinator. Most elections
+/// take less time.
 constexpr duration substitute_after = duration::from_ms(700);
 constexpr duration limit_share_interval = duration::from_ms(200);
 
-/// @return what to tell an entry that knows @a before; all of it where it knows nothing
+/// @return the message that brings an entry from list @a previous to list @a now; the complete list if
+/// @a previous is null
 entry_list entry_list_change(const std::vector<entry_peer>* previous, const std::vector<entry_peer>& now)
 {
     entry_list change;
@@ -126,7 +130,7 @@
     }
     if (!authoritative || report.wants_updates)
     {
-        // A follower that lacks the revision sees by this whether it is on its way.
+        // The reply shows an entry that lacks a revision whether that revision is in transit.
         const quorum::replica* node = catalog.node();
         links.send(from.name,
                    distribution::revision_report{catalog.state().revision(), 0, false, false,
@@ -151,7 +155,8 @@
     {
         return false;
     }
-    // A leader that lost its lease for a moment has it back in the same term: nobody else kept the limits.
+    // The accounts stay valid if the leader loses its lease for a moment and regains it in the same term,
+    // since no other replica acted as the rate limit coordinator in between.
     const rate_limit_role role_now{is_substitute, node->term()};
     if (!(role_now == last_rate_limit_role))
     {
@@ -164,7 +169,7 @@
 
 double control_process::implementation::reachable_limit_share(int all_entries, time_point now)
 {
-    // Who leads has a majority behind it; who stands in may be cut off from most entries.
+    // A leader is connected to a majority, but a substitute may be cut off from most entries.
     if (catalog.may_answer(now) || all_entries <= 0)
     {
         return 1.0;
@@ -178,7 +183,8 @@
 {
     if (!acts_as_rate_limit_coordinator(now))
     {
-        // Another replica does, or none; the entry goes on alone until it finds out.
+        // Another replica is the coordinator, or none. The entry decides locally until it finds a
+        // coordinator.
         return;
     }
     if (now >= next_limit_share_at)
@@ -210,7 +216,7 @@
     {
         return;
     }
-    // Whoever comes or goes is a message to each.
+    // Each change of the list causes a message to each entry.
     next_entry_lists_at = now + std::max(entry_list_interval, pace().every() * entry_list_interval_share);
     std::vector<entry_peer> present;
     for (const auto& [name, known] : publisher.instances())
@@ -222,7 +228,7 @@
         }
     }
     const auto shared = std::make_shared<const std::vector<entry_peer>>(std::move(present));
-    // Most were told the same before, so that one message, encoded once, serves them.
+    // Most entries have the same previous list and share one message, which is encoded once.
     std::map<std::shared_ptr<const std::vector<entry_peer>>, std::vector<std::string>> receivers;
     for (const entry_peer& item : *shared)
     {
@@ -272,7 +278,7 @@
     const bool for_catalog = requested.log == catalog_log;
     if (!(for_catalog ? leads(catalog) : leads(registers)))
     {
-        // The asker tries again, with whom it then takes for the leader.
+        // The sender retries with the replica that it then considers the leader.
         return;
     }
     const std::error_code refused = for_catalog ? change_members(catalog, catalog_log, requested)
--- a/src/control/control_operators.cpp
+++ b/src/control/control_operators.cpp
@@ -101,7 +101,7 @@
     if (names && !knows_zone(*zone))
     {
         errors.error(errc::unknown_name, "/body/availability_zone",
-                     "no availability zone of this name is in the settings");
+                     "the settings contain no availability zone of this name");
     }
     return errors;
 }
@@ -161,7 +161,7 @@
     const std::int64_t held = catalog.state().current().version;
     if (requested.version > 0 && requested.version <= held && catalog.may_answer(clock.now()))
     {
-        // Decided already, and a majority has what it was overtaken by.
+        // A later version is committed on a majority, so that this version was decided on before.
         log(log_level::info, "change",
             {{"id", requested.id.str()},
              {"version", requested.version},
@@ -313,7 +313,7 @@
     if (name.empty() || (action != "add" && action != "replace" && action != "remove"))
     {
         respond(error_reply(http_bad_request, errc::document_malformed,
-                            "wants {\"action\": add, replace or remove, \"name\": a replica}"));
+                            "expected {\"action\": add, replace or remove, \"name\": name of a replica}"));
         return;
     }
     if (!leads(catalog))
@@ -321,7 +321,7 @@
         respond(not_leader());
         return;
     }
-    // Each log has a leader of its own: what this replica doesn't lead, its leader is asked for.
+    // Each log has its own leader. A request for a log that this replica doesn't lead goes to its leader.
     const member_request requested{{}, action, name};
     const std::error_code first = change_members(catalog, catalog_log, requested);
     const std::error_code second = change_members(registers, register_log, requested);
--- a/src/control/control_process.cpp
+++ b/src/control/control_process.cpp
@@ -43,7 +43,7 @@
     if (failed)
     {
         errors.error(static_cast<errc>(failed.value()), "/data_folder",
-                     "isn't empty; a log is founded once, on one replica");
+                     "must be empty; new logs are created once, on one replica");
     }
     return errors;
 }
--- a/src/control/control_process.hpp
+++ b/src/control/control_process.hpp
@@ -12,7 +12,12 @@
 namespace flaxtiller::shell
 {
 
-/// @brief The `control` process: one replica of the replicated logs of the configuration and of the register.
+/// @brief The `control` process, one replica of the control plane.
+///
+/// The process holds one replica each of the replicated logs of the catalog, which is the history of the
+/// configuration, and of the register, which records the outcomes of requests that must not be repeated. It
+/// distributes the configuration and the registrations of backend servers to the entries, serves operators
+/// over HTTP, and enforces the rate limits of teams together with the entries.
 class control_process
 {
   public:
@@ -21,46 +26,48 @@
     control_process(const control_process&) = delete;
     control_process& operator=(const control_process&) = delete;
 
-    /// @brief Takes its addresses and reads its data folder.
-    /// @return findings; with an error the process must not run
+    /// @brief Opens the data folder and restores the state in it.
+    /// @return the findings; the process must not run if they contain an error
     findings open();
 
-    /// @brief Makes this replica's empty folders the first and only member of new logs.
+    /// @brief Creates new logs in the empty folders of this replica, with this replica as the only member.
     findings bootstrap_logs();
 
-    /// @brief Serves until it is told to stop by SIGTERM or SIGINT.
+    /// @brief Listens at the addresses of the settings and serves until SIGTERM or SIGINT arrives.
     /// @return the exit status
     int run();
 
-    // ------------------------------------------------------------------ for an adapter
+    // ------------------------------------------------------------------ for platform adapters
 
     using gateway_handler =
         std::function<void(control_process&, const http_request&, const http_server::respond&)>;
 
-    /// @brief Serves HTTP at a further address by @a handler, which is called on the strand of the decisions.
-    /// The calls below are for such a handler.
+    /// @brief Serves HTTP at an additional address. The @a handler is called on the strand of this process
+    /// and may call the functions below.
     findings serve(const address& at, gateway_handler handler);
 
-    /// @brief Puts a change into the log; @a done is called once it is committed, or can't be known to be.
+    /// @brief Proposes a change to the catalog log.
+    /// @param done is called when the change is committed, or with an error when that is uncertain
     void submit(change requested, std::function<void(std::error_code, const change_result&)> done);
 
-    /// @return the present configuration, if this replica can be sure that it is the present one
+    /// @return the current configuration, or null if this replica can't be sure that its configuration is
+    /// current
     const configuration* current() const;
 
-    /// @return whether this replica leads and may take changes
+    /// @return whether this replica is the leader of the catalog log, which accepts changes
     bool leads() const;
 
-    /// @return the name of the replica that leads as far as this one knows; empty if none does
+    /// @return the name of the leader as known to this replica; empty if no leader is known
     std::string leader() const;
 
-    /// @return whether the settings name this availability zone; true for all where they name none
+    /// @return whether the settings contain this availability zone; true for any name if they contain none
     bool knows_zone(const std::string& zone) const;
 
-    /// @brief A backend server's heartbeat.
+    /// @brief Handles the heartbeat of a backend server.
     void heartbeat(const registration& report);
 
-    /// @brief A backend server's last word.
-    /// @param born_ms which of its lives ends; 0 for the one that is known
+    /// @brief Handles the deregistration of a backend server.
+    /// @param born_ms the start time of the run that ends; 0 for the known run
     void deregister(const backend_server_name& id, std::int64_t born_ms);
 
   private:
