--- a/src/control/control_process.cpp
+++ b/src/control/control_process.cpp
@@ -43,7 +43,7 @@
     if (failed)
     {
         errors.error(static_cast<errc>(failed.value()), "/data_folder",
-                     "must be empty; new logs are created once, on one replica");
+                     "must be empty; a new log is created once, on one replica");
     }
     return errors;
 }
