--- a/src/control/control_decisions.cpp
+++ b/src/control/control_decisions.cpp
@@ -20,6 +20,7 @@
 constexpr duration report_grace_period = duration::from_ms(3500);
 /// The same after a simultaneous start of all processes: links and first reports take less time.
 constexpr duration startup_report_grace_period = duration::from_ms(700);
+/// A replica that becomes the leader within this time after its start counts as part of a simultaneous start.
 constexpr duration startup_period = duration::from_ms(6000);
 /// The longest time between the starts of processes that start together, including their first links.
 constexpr duration simultaneous_start_tolerance = duration::from_ms(1000);
--- a/src/control/control_implementation.hpp
+++ b/src/control/control_implementation.hpp
@@ -144,7 +144,7 @@
     int entry_count = 0;
     time_point next_entry_count_at{};
     time_point next_link_tick_at{};
-    /// The replicas for which links were last requested, and that the registrations are exchanged with.
+    /// The replicas that links were last requested to, and that registrations are exchanged with.
     std::set<std::string> linked_replicas;
     suspension_watch suspensions;
     bool pump_posted = false;
@@ -261,9 +261,9 @@
     /// that they reach.
     bool acts_as_rate_limit_coordinator(time_point now);
 
-    /// @return whether this replica substitutes the rate limit coordinator: no leader has been known for a
-    /// while, this replica is the first one by name, and entries reach it
-    bool substitutes_rate_limit_coordinator(time_point now);
+    /// @return whether this replica substitutes for the rate limit coordinator: no leader has been known for
+    /// a while, this replica is the first one by name, and entries reach it
+    bool substitutes_for_rate_limit_coordinator(time_point now);
 
     /// @return the share of the limits that this replica may grant, given the number of all entries
     double reachable_limit_share(int all_entries, time_point now);
--- a/src/control/control_links.cpp
+++ b/src/control/control_links.cpp
@@ -19,9 +19,10 @@
 /// Entries that reported within this time count as reaching a substitute. An entry without a leader reports
 /// to all replicas once per second.
 constexpr duration substitute_report_age = duration::from_ms(2500);
-/// The time without a leader after which a replica substitutes the rate limit coordinator. Most elections
-/// take less time.
+/// The time without a leader after which a replica substitutes for the rate limit coordinator. Most
+/// elections take less time.
 constexpr duration substitute_after = duration::from_ms(700);
+/// The interval at which a substitute computes its share of the limits again.
 constexpr duration limit_share_interval = duration::from_ms(200);
 
 /// @return the message that brings an entry from list @a previous to list @a now; the complete list if
@@ -139,7 +140,7 @@
     publish();
 }
 
-bool control_process::implementation::substitutes_rate_limit_coordinator(time_point now)
+bool control_process::implementation::substitutes_for_rate_limit_coordinator(time_point now)
 {
     return is_self_forming() && now - leaderless_since >= substitute_after &&
            *replica_names().begin() == settings.replica.name &&
@@ -150,7 +151,7 @@
 {
     const quorum::replica* node = catalog.node();
     const bool leads = catalog.may_answer(now);
-    const bool is_substitute = !leads && substitutes_rate_limit_coordinator(now);
+    const bool is_substitute = !leads && substitutes_for_rate_limit_coordinator(now);
     if (!leads && !is_substitute)
     {
         return false;
