--- a/tests/src/unit-registration-publisher.cpp
+++ b/tests/src/unit-registration-publisher.cpp
@@ -70,11 +70,11 @@
         {
             deliver();
             const auto number = static_cast<int>(m_now.since_start().ms() / tick.ms());
-            const auto every = static_cast<int>(digest_interval.ms() / tick.ms());
+            const auto ticks_per_digest = static_cast<int>(digest_interval.ms() / tick.ms());
             int entry = 0;
             for (const auto& [name, known] : m_entries)
             {
-                if (digests && entry++ % every == number % every)
+                if (digests && entry++ % ticks_per_digest == number % ticks_per_digest)
                 {
                     (void)m_publisher.on_digest(name, known.digest(), m_registry.digest(), m_now);
                 }
