--- a/src/entry/entry_callers.cpp
+++ b/src/entry/entry_callers.cpp
@@ -14,7 +14,7 @@
 {
 
 /// Beyond this, the configuration counts as stale: the balancer is told, answers go on and say its age.
-constexpr duration stale_after = duration::from_ms(3000);
+constexpr duration stale_threshold = duration::from_ms(3000);
 
 int status_of(const query_answer& answer)
 {
@@ -70,7 +70,7 @@
     {
         state = "starting";
     }
-    else if (clock.now() - time_point(duration::from_us(at)) > stale_after)
+    else if (clock.now() - time_point(duration::from_us(at)) > stale_threshold)
     {
         state = "stale";
     }
@@ -87,7 +87,7 @@
     {
         found.error(errc::document_malformed, "", "the body must be JSON");
     }
-    query_request wanted = document.is_discarded() ? query_request{} : parse_query_request(document, found);
+    query_request query = document.is_discarded() ? query_request{} : parse_query_request(document, found);
     if (found.has_errors())
     {
         counted.add(metrics::counter::malformed_requests);
@@ -96,56 +96,56 @@
     }
     if (confirmed_at_us.load(std::memory_order_acquire) == 0)
     {
-        query_answer told;
-        told.refusal = errc::not_ready;
-        told.outcome = wanted.repeatable ? outcome::not_run : outcome::unknown;
-        told.retry_after = duration::from_ms(200);
-        answer(told, respond);
+        query_answer result;
+        result.refusal = errc::not_ready;
+        result.outcome = query.repeatable ? outcome::not_run : outcome::unknown;
+        result.retry_after = duration::from_ms(200);
+        answer(result, respond);
         return;
     }
-    const auto now_in_force = table.load();
-    const auto lane = now_in_force->lanes.find(wanted.service);
-    if (lane == now_in_force->lanes.end())
+    const auto snapshot = current_snapshot.load();
+    const auto runner = snapshot->runners.find(query.service);
+    if (runner == snapshot->runners.end())
     {
-        query_answer told;
-        told.refusal = errc::unknown_service;
-        told.outcome = wanted.repeatable ? outcome::not_run : outcome::unknown;
-        answer(told, respond);
+        query_answer result;
+        result.refusal = errc::unknown_service;
+        result.outcome = query.repeatable ? outcome::not_run : outcome::unknown;
+        answer(result, respond);
         return;
     }
-    lane->second->ask(std::move(wanted),
-                      [this, respond = std::move(respond)](const query_answer& told)
-                      {
-                          answer(told, respond);
-                      });
+    runner->second->submit(std::move(query),
+                           [this, respond = std::move(respond)](const query_answer& result)
+                           {
+                               answer(result, respond);
+                           });
 }
 
-void entry_process::implementation::answer(const query_answer& told, const http_server::respond& respond)
+void entry_process::implementation::answer(const query_answer& result, const http_server::respond& respond)
 {
-    count(told);
-    nlohmann::json body = told;
+    count(result);
+    nlohmann::json body = result;
     const time_point confirmed(duration::from_us(confirmed_at_us.load(std::memory_order_relaxed)));
     body["configuration_age_ms"] = (clock.now() - confirmed).ms();
-    http_reply reply = json_reply(status_of(told), body);
-    if (told.retry_after > duration{})
+    http_reply reply = json_reply(status_of(result), body);
+    if (result.retry_after > duration{})
     {
-        const auto seconds = static_cast<std::int64_t>(told.retry_after.ms() / 1000.0) + 1;
+        const auto seconds = static_cast<std::int64_t>(result.retry_after.ms() / 1000.0) + 1;
         reply.headers.set("Retry-After", std::to_string(seconds));
     }
     respond(std::move(reply));
 }
 
-void entry_process::implementation::count(const query_answer& told)
+void entry_process::implementation::count(const query_answer& result)
 {
     using counter = metrics::counter;
     counter which = counter::answers_unknown;
-    if (told.refusal != errc::ok || told.outcome == outcome::not_run)
+    if (result.refusal != errc::ok || result.outcome == outcome::not_run)
     {
         which = counter::answers_refused;
     }
-    else if (told.outcome == outcome::run)
+    else if (result.outcome == outcome::run)
     {
-        which = told.is_whole() ? counter::answers_whole : counter::answers_partial;
+        which = result.is_whole() ? counter::answers_whole : counter::answers_partial;
     }
     counted.add(which);
 }
@@ -172,15 +172,15 @@
 
 void entry_process::implementation::dump(http_server::respond respond)
 {
-    struct gathered
+    struct dump_collection
     {
         std::mutex mutex;
         nlohmann::json services = nlohmann::json::object();
         std::size_t left = 0;
     };
-    const auto now_in_force = table.load();
-    auto all = std::make_shared<gathered>();
-    all->left = now_in_force->lanes.size() + 1;
+    const auto snapshot = current_snapshot.load();
+    auto all = std::make_shared<dump_collection>();
+    all->left = snapshot->runners.size() + 1;
     const auto done = [this, all, respond]
     {
         const std::scoped_lock lock(all->mutex);
@@ -191,12 +191,12 @@
         net::post(strand,
                   [this, all, respond]
                   {
-                      respond(json_reply(http_ok, dump_with(all->services)));
+                      respond(json_reply(http_ok, assemble_dump(all->services)));
                   });
     };
-    for (const auto& [name, lane] : now_in_force->lanes)
+    for (const auto& [name, runner] : snapshot->runners)
     {
-        lane->dump(
+        runner->dump(
             [all, done, name = name.str()](nlohmann::json state)
             {
                 {
@@ -209,7 +209,7 @@
     done();
 }
 
-nlohmann::json entry_process::implementation::dump_with(const nlohmann::json& services)
+nlohmann::json entry_process::implementation::assemble_dump(const nlohmann::json& services)
 {
     const auto age = subscriber.age(clock.now());
     nlohmann::json j = {{"process", "entry"},
--- a/src/entry/entry_configuration.cpp
+++ b/src/entry/entry_configuration.cpp
@@ -12,7 +12,7 @@
 {
 
 /// Unanswered reports after which another replica may lead.
-constexpr double reports_until_leader_lost = 2.5;
+constexpr double missed_reports_until_leader_lost = 2.5;
 
 } // namespace
 
@@ -24,33 +24,33 @@
         return;
     }
     control_choice.on_in_force(subscriber.revision());
-    put_in_force();
+    apply_configuration();
     log(log_level::info, "revision_in_force", {{"revision", subscriber.revision()}});
     report();
-    note_confirmed();
+    update_confirmation_time();
 }
 
 void entry_process::implementation::on_confirmation(const hello& from,
-                                                    const distribution::revision_confirmation& word)
+                                                    const distribution::revision_confirmation& confirmation)
 {
     const time_point now = clock.now();
     if (routed)
     {
-        routed->set_limit_keeper(from.name, true);
+        routed->set_rate_limit_coordinator(from.name, true);
     }
     leader = from.name;
-    leader_heard_at = now;
-    leader_report_every = std::max(settings.report_every, duration::from_ms(word.report_every_ms));
-    subscriber.on_confirmation(word, now);
-    if (leader_revision != word.revision)
+    leader_contact_at = now;
+    leader_report_interval = std::max(settings.report_every, duration::from_ms(confirmation.report_every_ms));
+    subscriber.on_confirmation(confirmation, now);
+    if (leader_revision != confirmation.revision)
     {
-        leader_revision = word.revision;
+        leader_revision = confirmation.revision;
         log(log_level::info, "revision_confirmed",
-            {{"by", from.name}, {"revision", word.revision}, {"in_force", subscriber.revision()}});
+            {{"by", from.name}, {"revision", confirmation.revision}, {"in_force", subscriber.revision()}});
     }
-    const bool fell_behind = control_choice.on_wanted(word.revision, now);
-    note_confirmed();
-    if (fell_behind && !serves())
+    const bool now_behind = control_choice.on_wanted(confirmation.revision, now);
+    update_confirmation_time();
+    if (now_behind && !serves())
     {
         after(catch_up_timer, distribution::replica_choice::first_lag_bound,
               [this]
@@ -58,11 +58,11 @@
                   report();
               });
     }
-    if (word.instances != entries && word.instances > 0)
+    if (confirmation.instances != entry_count && confirmation.instances > 0)
     {
-        entries = word.instances;
-        log(log_level::info, "entries", {{"count", entries}});
-        update_routed_soon();
+        entry_count = confirmation.instances;
+        log(log_level::info, "entries", {{"count", entry_count}});
+        schedule_routing_update();
     }
 }
 
@@ -71,23 +71,24 @@
 void entry_process::implementation::on_leader_named(const std::string& name)
 {
     const time_point now = clock.now();
-    const bool heard_lately = now - leader_heard_at < settings.report_every * reports_until_leader_lost;
-    if (name.empty() || name == leader || heard_lately)
+    const bool leader_contacted_recently =
+        now - leader_contact_at < settings.report_every * missed_reports_until_leader_lost;
+    if (name.empty() || name == leader || leader_contacted_recently)
     {
         return;
     }
     log(log_level::info, "leader_named", {{"leader", name}, {"before", leader}});
     leader = name;
-    leader_heard_at = now;
+    leader_contact_at = now;
     leader_reported_at = now;
     if (routed)
     {
-        routed->set_limit_keeper(leader, false);
+        routed->set_rate_limit_coordinator(leader, false);
     }
     links.send(leader, subscriber.report());
 }
 
-void entry_process::implementation::note_confirmed()
+void entry_process::implementation::update_confirmation_time()
 {
     const auto age = subscriber.age(clock.now());
     if (!subscriber.is_confirmed() || !age)
@@ -108,15 +109,16 @@
 
 /// Which zones are evacuated, and which routes no availability zone may serve: what an operator asks first
 /// where requests are refused.
-void entry_process::implementation::note_places()
+void entry_process::implementation::apply_zone_changes()
 {
     const configuration& current = *subscriber.current();
     if (current.evacuated_zones != evacuated_zones)
     {
-        std::set<std::string> back;
+        std::set<std::string> returned_zones;
         std::set_difference(evacuated_zones.begin(), evacuated_zones.end(), current.evacuated_zones.begin(),
-                            current.evacuated_zones.end(), std::inserter(back, back.end()));
-        warmups.on_zones_back(back, registered.present(), current.services, clock.now());
+                            current.evacuated_zones.end(),
+                            std::inserter(returned_zones, returned_zones.end()));
+        warmups.on_zones_back(returned_zones, registered.present(), current.services, clock.now());
         evacuated_zones = current.evacuated_zones;
         log(log_level::info, "zones_evacuated",
             {{"zones", nlohmann::json(evacuated_zones).dump()}, {"revision", subscriber.revision()}});
@@ -138,9 +140,9 @@
     }
 }
 
-void entry_process::implementation::put_in_force()
+void entry_process::implementation::apply_configuration()
 {
-    note_places();
+    apply_zone_changes();
     const configuration& current = *subscriber.current();
     routes = std::make_shared<const route_table>(current.routes);
     if (!current.teams.is_same(teams->teams()))
@@ -152,63 +154,63 @@
     if (routed)
     {
         routed_placement.configure(subscriber.revision(), *subscriber.current(), registered.present());
-        update_routed();
+        update_routing();
     }
     if (settings.callers.port == 0)
     {
         return;
     }
     auto declared = std::make_shared<const placement>(place(subscriber.revision(), *subscriber.current()));
-    auto next = std::make_shared<entry_routing>();
+    auto next = std::make_shared<routing_snapshot>();
     next->placed = declared;
-    const auto before = table.load();
+    const auto before = current_snapshot.load();
     for (const auto& [name, service] : declared->services)
     {
-        const auto known = before->lanes.find(name);
-        const bool fresh = known == before->lanes.end();
-        auto lane = fresh ? std::make_shared<service_lane>(lanes, name) : known->second;
-        if (fresh)
+        const auto known = before->runners.find(name);
+        const bool is_new = known == before->runners.end();
+        auto runner = is_new ? std::make_shared<service_runner>(runner_context, name) : known->second;
+        if (is_new)
         {
-            tell_peers(*lane);
+            send_reachable_peers(*runner);
         }
-        next->lanes.emplace(name, std::move(lane));
+        next->runners.emplace(name, std::move(runner));
     }
     configure_pools(*declared, before->placed.get());
-    for (const auto& [name, lane] : before->lanes)
+    for (const auto& [name, runner] : before->runners)
     {
-        lane->post(placement_changed{declared});
+        runner->post(placement_changed{declared});
     }
-    for (const auto& [name, lane] : next->lanes)
+    for (const auto& [name, runner] : next->runners)
     {
-        if (before->lanes.count(name) == 0)
+        if (before->runners.count(name) == 0)
         {
-            lane->post(placement_changed{declared});
-            tell_list(*lane);
+            runner->post(placement_changed{declared});
+            send_platform_list(*runner);
         }
     }
-    table.store(next);
-    want_peers();
+    current_snapshot.store(next);
+    update_links();
 }
 
-void entry_process::implementation::tell_peers(service_lane& lane)
+void entry_process::implementation::send_reachable_peers(service_runner& runner)
 {
     for (const std::string& name : reachable)
     {
-        lane.post(peer_reachable{instance_name(name), true});
+        runner.post(peer_reachable{instance_name(name), true});
     }
 }
 
-void entry_process::implementation::tell_list(service_lane& lane)
+void entry_process::implementation::send_platform_list(service_runner& runner)
 {
-    for (const auto& [server, leaving] : listed_leaving)
+    for (const auto& [server, leaving] : leaving_by_server)
     {
-        lane.post(listed{server, leaving});
+        runner.post(listed{server, leaving});
     }
 }
 
-void entry_process::implementation::want_peers()
+void entry_process::implementation::update_links()
 {
-    std::vector<named_address> peers = control.present();
+    std::vector<named_address> peers = control.replicas();
     for (const auto& [name, needed_at] : linked_entries)
     {
         const auto listed = listed_entries.find(name);
@@ -218,9 +220,9 @@
             peers.push_back({name.str(), *at});
         }
     }
-    const auto now_in_force = table.load();
+    const auto snapshot = current_snapshot.load();
     const std::map<instance_name, instance> none;
-    for (const auto& [name, item] : now_in_force->placed ? now_in_force->placed->instances : none)
+    for (const auto& [name, item] : snapshot->placed ? snapshot->placed->instances : none)
     {
         const auto at = parse_address(item.address);
         if (at && name.str() != settings.instance.name)
@@ -243,7 +245,7 @@
         {
             if (shard % dispatch::shards_per_owner == 0)
             {
-                owned = first_owner(name, static_cast<int>(shard), placed);
+                owned = is_first_reachable_owner(name, static_cast<int>(shard), placed);
             }
             for (const backend_server& server : service->shards[shard])
             {
@@ -275,13 +277,13 @@
     }
 }
 
-bool entry_process::implementation::first_owner(const service_name& service, int shard,
-                                                const placement& placed) const
+bool entry_process::implementation::is_first_reachable_owner(const service_name& service, int shard,
+                                                             const placement& placed) const
 {
     const int group = shard / dispatch::shards_per_owner;
     for (const instance_name& candidate : dispatch::owner_candidates(service, group, placed))
     {
-        const bool self = candidate == lanes.self;
+        const bool self = candidate == runner_context.self;
         if (self || reachable.count(candidate.str()) > 0)
         {
             return self;
@@ -323,29 +325,30 @@
              {"before_said_revision", control_choice.said(before)},
              {"wanted_revision", leader_revision},
              {"revision", subscriber.revision()}});
-        distribution::revision_report farewell = subscriber.report();
-        farewell.wants_updates = false;
-        links.send(before, farewell);
+        distribution::revision_report final_report = subscriber.report();
+        final_report.wants_updates = false;
+        links.send(before, final_report);
     }
     if (followed.empty())
     {
-        after(follow_timer, distribution::replica_choice::near_bound,
+        after(follow_retry_timer, distribution::replica_choice::near_bound,
               [this]
               {
                   report();
               });
     }
-    const bool leader_known = reachable.count(leader) > 0 &&
-                              now - leader_heard_at < leader_report_every * reports_until_leader_lost;
+    const bool leader_known =
+        reachable.count(leader) > 0 &&
+        now - leader_contact_at < leader_report_interval * missed_reports_until_leader_lost;
     if (routed && !leader_known)
     {
-        routed->set_limit_keeper(control.first(), false);
+        routed->set_rate_limit_coordinator(control.first_by_name(), false);
     }
     // One that doesn't serve yet waits for the leader's word.
     const bool leader_waits =
-        serves() && now - leader_reported_at < leader_report_every - settings.report_every * 0.5;
+        serves() && now - leader_reported_at < leader_report_interval - settings.report_every * 0.5;
     const registration_digest known{registered.digest()};
-    for (const named_address& replica : control.present())
+    for (const named_address& replica : control.replicas())
     {
         const bool follows = replica.name == followed;
         const bool leads = replica.name == leader;
@@ -354,9 +357,9 @@
             continue;
         }
         leader_reported_at = leads ? now : leader_reported_at;
-        distribution::revision_report word = subscriber.report();
-        word.wants_updates = follows;
-        links.send(replica.name, word);
+        distribution::revision_report outgoing = subscriber.report();
+        outgoing.wants_updates = follows;
+        links.send(replica.name, outgoing);
         if (routed && follows)
         {
             links.send(replica.name, known);
--- a/src/entry/entry_implementation.hpp
+++ b/src/entry/entry_implementation.hpp
@@ -1,14 +1,14 @@
 #pragma once
 
-#include "control_directory.hpp"
 #include "entry_process.hpp"
+#include "known_control_replicas.hpp"
 
 #include "shell/log.hpp"
 #include "shell/peer_links.hpp"
 #include "shell/pools_by_server.hpp"
 #include "shell/register_client.hpp"
-#include "shell/routed_front.hpp"
-#include "shell/service_lane.hpp"
+#include "shell/routing_frontend.hpp"
+#include "shell/service_runner.hpp"
 #include "shell/suspension_watch.hpp"
 #include "shell/system.hpp"
 #include "shell/trace_writer.hpp"
@@ -41,10 +41,10 @@
 namespace net = boost::asio;
 
 /// @brief What a request reads, by read-copy-update: the placement in force and the lane of each service.
-struct entry_routing
+struct routing_snapshot
 {
     std::shared_ptr<const placement> placed;
-    std::map<service_name, std::shared_ptr<service_lane>> lanes;
+    std::map<service_name, std::shared_ptr<service_runner>> runners;
 };
 
 /// @brief The parts of an entry process and how they hang together. Its members are defined by job:
@@ -57,8 +57,8 @@
 
     explicit implementation(entry_settings wanted)
         : settings(std::move(wanted)), run_id(draw64()), strand(net::make_strand(io)), link_timer(strand),
-          report_timer(strand), catch_up_timer(strand), follow_timer(strand), pools_timer(strand),
-          drain_timer(strand), view_timer(strand), signals(io, SIGTERM, SIGINT, SIGHUP),
+          report_timer(strand), catch_up_timer(strand), follow_retry_timer(strand), pools_timer(strand),
+          drain_timer(strand), routing_update_timer(strand), signals(io, SIGTERM, SIGINT, SIGHUP),
           links(hello{link_protocol_version, "entry", settings.instance.name, run_id,
                       settings.instance.region, settings.instance.availability_zone, settings.link.str()},
                 counted, settings.links,
@@ -72,19 +72,19 @@
                      on_reachable(name, up);
                  }}),
           registers(io, links, names_of(settings.control)), pools(io, counted),
-          trace(settings.trace_file), lanes{io,
-                                            pools,
-                                            links,
-                                            registers,
-                                            counted,
-                                            trace,
-                                            instance_name(settings.instance.name),
-                                            run_id,
-                                            options_of(settings)},
-          table(std::make_shared<const entry_routing>()), control(settings.control),
+          trace(settings.trace_file), runner_context{io,
+                                                     pools,
+                                                     links,
+                                                     registers,
+                                                     counted,
+                                                     trace,
+                                                     instance_name(settings.instance.name),
+                                                     run_id,
+                                                     options_of(settings)},
+          current_snapshot(std::make_shared<const routing_snapshot>()), control(settings.control),
           region_of_zone(settings.region_of_zone),
           routed(settings.routed.port == 0 ? nullptr
-                                           : std::make_unique<routed_front>(
+                                           : std::make_unique<routing_frontend>(
                                                  io, counted, settings.routing, settings.routed_names,
                                                  [this](const std::string& to, const link_message& message)
                                                  {
@@ -103,7 +103,7 @@
                                                      net::post(strand,
                                                                [this, news]
                                                                {
-                                                                   tell_crashes(news);
+                                                                   report_crash_records(news);
                                                                });
                                                  })),
           callers(io, limits_of(settings),
@@ -126,10 +126,10 @@
     net::steady_timer link_timer;
     net::steady_timer report_timer;
     net::steady_timer catch_up_timer;
-    net::steady_timer follow_timer;
+    net::steady_timer follow_retry_timer;
     net::steady_timer pools_timer;
     net::steady_timer drain_timer;
-    net::steady_timer view_timer;
+    net::steady_timer routing_update_timer;
     net::signal_set signals;
     monotonic_clock clock;
     metrics counted;
@@ -137,31 +137,31 @@
     register_client registers;
     pools_by_server<backend_pool> pools;
     trace_writer trace;
-    lane_context lanes;
-    rcu_cell<entry_routing> table;
+    service_runner_context runner_context;
+    rcu_cell<routing_snapshot> current_snapshot;
     distribution::subscriber subscriber;
     /// Microseconds of the monotonic clock at which a leader last confirmed the revision; 0 for never.
     std::atomic<std::int64_t> confirmed_at_us{0};
     std::atomic<bool> draining{false};
-    time_point drain_until{};
+    time_point drain_deadline{};
     /// What is in flight gets its final answer then.
-    time_point drain_end{};
+    time_point final_answers_at{};
     bool closing = false;
     /// Whether it got it.
-    bool answered_all = false;
+    bool final_answers_sent = false;
     /// New connections may come until then: the balancer needs to notice.
-    time_point drained_at_least{};
-    suspension_watch suspensions;
+    time_point earliest_drain_end{};
+    suspension_watch suspension_detector;
     std::set<std::string> reachable;
-    control_directory control;
+    known_control_replicas control;
     const shared_value<std::map<std::string, std::string>> region_of_zone;
-    std::unique_ptr<routed_front> routed;
+    std::unique_ptr<routing_frontend> routed;
     registry registered;
     warmup_tracker warmups;
     /// Where routed requests may go: the declared backend servers and the registered ones.
     live_placement routed_placement;
     /// Entry instances that share the backend servers, as the leader counts them; 0 while that isn't known.
-    int entries = 0;
+    int entry_count = 0;
     /// The other entries, by name, as a leader listed them.
     std::map<instance_name, entry_peer> listed_entries;
     /// The same list as requests read it, and those of it that can't be reached.
@@ -173,21 +173,21 @@
     std::shared_ptr<const route_table> routes = std::make_shared<const route_table>();
     /// And its teams.
     std::shared_ptr<const team_table> teams = std::make_shared<const team_table>();
-    bool view_due = false;
+    bool routing_update_pending = false;
     /// Registrations that changed since the view was last to be updated.
-    std::size_t changes_gathered = 0;
+    std::size_t changes_since_update = 0;
     /// As of the revision in force.
     std::set<std::string> evacuated_zones;
     /// The replica that last said under its lease what the present revision is, and when.
     std::string leader;
-    time_point leader_heard_at{};
+    time_point leader_contact_at{};
     time_point leader_reported_at{};
     /// How often it wants to hear from this entry.
-    duration leader_report_every = duration::from_ms(1000);
+    duration leader_report_interval = duration::from_ms(1000);
     std::int64_t leader_revision = 0;
     /// Which replica's updates this entry follows.
     distribution::replica_choice control_choice;
-    std::map<backend_server_name, bool> listed_leaving;
+    std::map<backend_server_name, bool> leaving_by_server;
     std::thread platform_poller;
     std::atomic<bool> stopping{false};
     http_server callers;
@@ -202,9 +202,9 @@
 
     void on_query(const http_request& request, http_server::respond respond);
 
-    void answer(const query_answer& told, const http_server::respond& respond);
+    void answer(const query_answer& result, const http_server::respond& respond);
 
-    void count(const query_answer& told);
+    void count(const query_answer& result);
 
     // ------------------------------------------------------------------ operators
 
@@ -212,7 +212,7 @@
 
     void dump(http_server::respond respond);
 
-    nlohmann::json dump_with(const nlohmann::json& services);
+    nlohmann::json assemble_dump(const nlohmann::json& services);
 
     // ------------------------------------------------------------------ links
 
@@ -222,24 +222,24 @@
     /// @return whether it was a message between entries on a routed request
     bool on_routed(const hello& from, const std::shared_ptr<const link_message>& message);
 
-    void on_surroundings(const hello& from, const link_message& message);
+    void on_cluster_message(const hello& from, const link_message& message);
 
     void on_registrations(const hello& from, const registration_update& update);
 
     static void log_registrations(const hello& from, const std::vector<registration>& changes);
 
     /// A replica's word on where the others are.
-    void on_control_members(const hello& from, const control_members& told);
+    void on_control_members(const hello& from, const control_members& member_list);
 
-    void note_control_replicas();
+    void on_control_replicas_changed();
 
     /// Soon puts what changed in this entry's surroundings in force; changes that come together share it.
-    void update_routed_soon();
+    void schedule_routing_update();
 
-    void update_routed();
+    void update_routing();
 
     /// Notes which of the listed entries can't be reached.
-    void note_unreachable();
+    void update_unreachable();
 
     /// Links to the owners of the shards that callers ask for, and to a few entries of each other region.
     void link_to_entries(const std::set<instance_name>& owners);
@@ -247,16 +247,16 @@
     void on_entry_list(const entry_list& list);
 
     /// Tells the control replica that this entry follows; all of them where that can't be reached.
-    void tell_crashes(const crash_news& news);
+    void report_crash_records(const crash_news& news);
 
     /// Of each other region this one links to a few entries, other ones than its neighbours do, so that links
     /// don't grow with the square of the instances.
-    std::set<instance_name> far_entries() const;
+    std::set<instance_name> remote_entries() const;
 
     /// The control replicas that can be reached, and how far they are.
     std::vector<distribution::replica_choice::candidate> control_candidates() const;
 
-    void post_to_lane(const service_name& service, coordinator_event event);
+    void post_to_service(const service_name& service, coordinator_event event);
 
     void on_reachable(const std::string& name, bool up);
 
@@ -264,25 +264,25 @@
 
     void on_update(const distribution::revision_update& update);
 
-    void on_confirmation(const hello& from, const distribution::revision_confirmation& word);
+    void on_confirmation(const hello& from, const distribution::revision_confirmation& confirmation);
 
     void on_leader_named(const std::string& name);
 
-    void note_confirmed();
+    void update_confirmation_time();
 
-    void note_places();
+    void apply_zone_changes();
 
-    void put_in_force();
+    void apply_configuration();
 
-    void tell_peers(service_lane& lane);
+    void send_reachable_peers(service_runner& runner);
 
-    void tell_list(service_lane& lane);
+    void send_platform_list(service_runner& runner);
 
-    void want_peers();
+    void update_links();
 
     void configure_pools(const placement& placed, const placement* before);
 
-    bool first_owner(const service_name& service, int shard, const placement& placed) const;
+    bool is_first_reachable_owner(const service_name& service, int shard, const placement& placed) const;
 
     void report();
 
@@ -296,7 +296,7 @@
 
     void poll_platform();
 
-    void on_list(const nlohmann::json& list);
+    void on_platform_list(const nlohmann::json& list);
 
     // ------------------------------------------------------------------ life
 
@@ -346,7 +346,7 @@
 
     void drain();
 
-    void check_drained(int quiet_checks);
+    void check_drained(int idle_checks);
 };
 
 } // namespace flaxtiller::shell
--- a/src/entry/entry_links.cpp
+++ b/src/entry/entry_links.cpp
@@ -15,16 +15,16 @@
 
 /// Changes of the surroundings that come within this share one update; the fastest that operators and backend
 /// servers wait for is seconds.
-constexpr duration gather = duration::from_ms(100);
+constexpr duration min_update_delay = duration::from_ms(100);
 /// After many changes the next ones wait longer, up to a moment that nobody notices: while thousands of
 /// backend servers register, updates ten times a second were most of what a small instance did.
-constexpr duration gather_per_change = duration::from_ms(5);
-constexpr duration longest_gather = duration::from_ms(500);
+constexpr duration update_delay_per_change = duration::from_ms(5);
+constexpr duration max_update_delay = duration::from_ms(500);
 /// A link that isn't needed any more is kept for this long: owners change with backend servers that come and
 /// go, and a new link costs more than a minute of heartbeats.
-constexpr duration unneeded_link_age = duration::from_ms(60000);
+constexpr duration unused_link_lifetime = duration::from_ms(60000);
 /// Links to entries of each other region: enough that one may fail and another be passed over.
-constexpr std::size_t far_entries_per_region = 3;
+constexpr std::size_t links_per_remote_region = 3;
 
 } // namespace
 
@@ -33,15 +33,15 @@
 {
     if (const auto* asked = std::get_if<ask_message>(&*message))
     {
-        post_to_lane(asked->service, peer_asked{instance_name(from->name), asked->subqueries});
+        post_to_service(asked->service, peer_asked{instance_name(from->name), asked->subqueries});
     }
     else if (const auto* answered = std::get_if<answer_message>(&*message))
     {
-        post_to_lane(answered->service, peer_answered{instance_name(from->name), answered->results});
+        post_to_service(answered->service, peer_answered{instance_name(from->name), answered->results});
     }
     else if (const auto* abandoned = std::get_if<abandon_message>(&*message))
     {
-        post_to_lane(abandoned->service, peer_abandoned{instance_name(from->name), abandoned->numbers});
+        post_to_service(abandoned->service, peer_abandoned{instance_name(from->name), abandoned->numbers});
     }
     else if (const auto* returned = std::get_if<register_return>(&*message))
     {
@@ -52,7 +52,7 @@
         net::post(strand,
                   [this, from, message]
                   {
-                      on_surroundings(*from, *message);
+                      on_cluster_message(*from, *message);
                   });
     }
 }
@@ -66,17 +66,17 @@
     }
     if (const auto* asked = std::get_if<routed_ask>(&*message))
     {
-        routed->on_ask(from.name, {message, asked});
+        routed->on_delegation(from.name, {message, asked});
         return true;
     }
     if (const auto* returned = std::get_if<routed_return>(&*message))
     {
-        routed->on_return(from.name, {message, returned});
+        routed->on_delegation_outcome(from.name, {message, returned});
         return true;
     }
     if (const auto* abandoned = std::get_if<routed_abandon>(&*message))
     {
-        routed->on_abandon(from.name, *abandoned);
+        routed->on_delegation_abandoned(from.name, *abandoned);
         return true;
     }
     if (const auto* crashes = std::get_if<crash_news>(&*message))
@@ -92,28 +92,28 @@
     return false;
 }
 
-void entry_process::implementation::on_surroundings(const hello& from, const link_message& message)
+void entry_process::implementation::on_cluster_message(const hello& from, const link_message& message)
 {
     if (const auto* update = std::get_if<distribution::revision_update>(&message))
     {
         on_update(*update);
     }
-    else if (const auto* word = std::get_if<distribution::revision_confirmation>(&message))
+    else if (const auto* confirmation = std::get_if<distribution::revision_confirmation>(&message))
     {
-        on_confirmation(from, *word);
+        on_confirmation(from, *confirmation);
     }
     else if (const auto* registrations = std::get_if<registration_update>(&message))
     {
         on_registrations(from, *registrations);
     }
-    else if (const auto* standing = std::get_if<distribution::revision_report>(&message))
+    else if (const auto* revision_state = std::get_if<distribution::revision_report>(&message))
     {
-        control_choice.on_word(from.name, standing->revision);
-        on_leader_named(standing->leader);
+        control_choice.on_word(from.name, revision_state->revision);
+        on_leader_named(revision_state->leader);
     }
-    else if (const auto* told = std::get_if<control_members>(&message))
+    else if (const auto* member_list = std::get_if<control_members>(&message))
     {
-        on_control_members(from, *told);
+        on_control_members(from, *member_list);
     }
     else if (const auto* list = std::get_if<entry_list>(&message))
     {
@@ -125,9 +125,9 @@
 {
     const time_point now = clock.now();
     bool changed = false;
-    for (const registration& said : update.items)
+    for (const registration& reported : update.items)
     {
-        changed = registered.merge(said, now) || changed;
+        changed = registered.merge(reported, now) || changed;
     }
     if (update.whole)
     {
@@ -138,22 +138,22 @@
         return;
     }
     const std::vector<registration> changes = registered.take_changes();
-    changes_gathered += changes.size();
+    changes_since_update += changes.size();
     routed_placement.apply(changes);
     for (const registration& item : changes)
     {
         warmups.on_registration(item, now);
     }
     log_registrations(from, changes);
-    update_routed_soon();
+    schedule_routing_update();
 }
 
 void entry_process::implementation::log_registrations(const hello& from,
                                                       const std::vector<registration>& changes)
 {
     // All of them, at a start: what each says stands in the control replica's log.
-    constexpr std::size_t most_lines = 32;
-    if (changes.size() > most_lines)
+    constexpr std::size_t max_lines = 32;
+    if (changes.size() > max_lines)
     {
         log(log_level::info, "registrations", {{"items", changes.size()}, {"from", from.name}});
         return;
@@ -171,55 +171,56 @@
     }
 }
 
-void entry_process::implementation::on_control_members(const hello& from, const control_members& told)
+void entry_process::implementation::on_control_members(const hello& from, const control_members& member_list)
 {
-    if (control.on_word(from.name, told.names))
+    if (control.on_member_list(from.name, member_list.names))
     {
-        note_control_replicas();
+        on_control_replicas_changed();
     }
 }
 
-void entry_process::implementation::note_control_replicas()
+void entry_process::implementation::on_control_replicas_changed()
 {
-    log(log_level::info, "control_replicas", {{"count", control.present().size()}});
-    want_peers();
+    log(log_level::info, "control_replicas", {{"count", control.replicas().size()}});
+    update_links();
 }
 
-void entry_process::implementation::update_routed_soon()
+void entry_process::implementation::schedule_routing_update()
 {
-    if (!routed || view_due)
+    if (!routed || routing_update_pending)
     {
         return;
     }
-    view_due = true;
-    const duration wanted = gather_per_change * static_cast<double>(std::exchange(changes_gathered, 0));
-    after(view_timer, std::clamp(wanted, gather, longest_gather),
+    routing_update_pending = true;
+    const duration wanted =
+        update_delay_per_change * static_cast<double>(std::exchange(changes_since_update, 0));
+    after(routing_update_timer, std::clamp(wanted, min_update_delay, max_update_delay),
           [this]
           {
-              update_routed();
+              update_routing();
           });
 }
 
-void entry_process::implementation::update_routed()
+void entry_process::implementation::update_routing()
 {
-    view_due = false;
+    routing_update_pending = false;
     routing_view view;
     view.placed = routed_placement.current();
     view.routes = routes;
     view.teams = teams;
     view.cold = warmups.current(clock.now());
-    view.entries = entries;
+    view.entries = entry_count;
     view.self = instance_name(settings.instance.name);
     view.region = settings.instance.region;
     view.zone = settings.instance.availability_zone;
     view.region_of_zone = region_of_zone;
     view.peers = listed_peers;
-    note_unreachable();
+    update_unreachable();
     view.unreachable = unreachable;
     routed->update(view, subscriber.current()->limits);
 }
 
-void entry_process::implementation::note_unreachable()
+void entry_process::implementation::update_unreachable()
 {
     std::set<instance_name> next;
     for (const auto& [name, peer] : listed_entries)
@@ -235,7 +236,7 @@
     }
 }
 
-std::set<instance_name> entry_process::implementation::far_entries() const
+std::set<instance_name> entry_process::implementation::remote_entries() const
 {
     std::map<std::string, std::map<std::uint64_t, instance_name>> by_region;
     for (const auto& [name, item] : listed_entries)
@@ -251,7 +252,7 @@
         std::size_t taken = 0;
         for (const auto& [rank, name] : ranked)
         {
-            if (taken++ < far_entries_per_region)
+            if (taken++ < links_per_remote_region)
             {
                 chosen.insert(name);
             }
@@ -262,7 +263,7 @@
 
 void entry_process::implementation::link_to_entries(const std::set<instance_name>& owners)
 {
-    std::set<instance_name> needed = far_entries();
+    std::set<instance_name> needed = remote_entries();
     needed.insert(owners.begin(), owners.end());
     const time_point now = clock.now();
     bool changed = false;
@@ -274,19 +275,19 @@
             changed = linked_entries.insert_or_assign(name, now).second || changed;
         }
     }
-    const auto forgotten = std::erase_if(linked_entries,
-                                         [&](const auto& item)
-                                         {
-                                             return now - item.second > unneeded_link_age ||
-                                                    listed_entries.count(item.first) == 0;
-                                         });
-    if (!changed && forgotten == 0)
+    const auto removed = std::erase_if(linked_entries,
+                                       [&](const auto& item)
+                                       {
+                                           return now - item.second > unused_link_lifetime ||
+                                                  listed_entries.count(item.first) == 0;
+                                       });
+    if (!changed && removed == 0)
     {
         return;
     }
     log(log_level::info, "entries_linked",
         {{"linked", linked_entries.size()}, {"listed", listed_entries.size()}});
-    want_peers();
+    update_links();
 }
 
 void entry_process::implementation::on_entry_list(const entry_list& list)
@@ -312,10 +313,10 @@
         peers.push_back(peer);
     }
     listed_peers = std::move(peers);
-    update_routed_soon();
+    schedule_routing_update();
 }
 
-void entry_process::implementation::tell_crashes(const crash_news& news)
+void entry_process::implementation::report_crash_records(const crash_news& news)
 {
     const std::string& followed = control_choice.followed();
     if (reachable.count(followed) > 0)
@@ -324,20 +325,20 @@
         return;
     }
     std::vector<std::string> all;
-    for (const named_address& replica : control.present())
+    for (const named_address& replica : control.replicas())
     {
         all.push_back(replica.name);
     }
     links.send(all, news);
 }
 
-void entry_process::implementation::post_to_lane(const service_name& service, coordinator_event event)
+void entry_process::implementation::post_to_service(const service_name& service, coordinator_event event)
 {
-    const auto now_in_force = table.load();
-    const auto lane = now_in_force->lanes.find(service);
-    if (lane != now_in_force->lanes.end())
+    const auto snapshot = current_snapshot.load();
+    const auto runner = snapshot->runners.find(service);
+    if (runner != snapshot->runners.end())
     {
-        lane->second->post(std::move(event));
+        runner->second->post(std::move(event));
     }
 }
 
@@ -351,9 +352,9 @@
                   {
                       control_choice.on_lost(name);
                   }
-                  if (!up && control.on_lost(name))
+                  if (!up && control.on_unreachable(name))
                   {
-                      note_control_replicas();
+                      on_control_replicas_changed();
                   }
                   if (up && control.knows(name))
                   {
@@ -361,21 +362,21 @@
                       report();
                       if (routed)
                       {
-                          routed->tell_all_crashes();
+                          routed->report_all_crash_records();
                       }
                   }
                   if (routed && linked_entries.count(instance_name(name)) > 0)
                   {
                       if (!up)
                       {
-                          routed->on_entry_lost(name);
+                          routed->on_entry_unreachable(name);
                       }
-                      update_routed_soon();
+                      schedule_routing_update();
                   }
-                  const auto now_in_force = table.load();
-                  for (const auto& [service, lane] : now_in_force->lanes)
+                  const auto snapshot = current_snapshot.load();
+                  for (const auto& [service, runner] : snapshot->runners)
                   {
-                      lane->post(peer_reachable{instance_name(name), up});
+                      runner->post(peer_reachable{instance_name(name), up});
                   }
               });
 }
--- a/src/entry/entry_platform_list.cpp
+++ b/src/entry/entry_platform_list.cpp
@@ -27,16 +27,16 @@
             net::post(strand,
                       [this, list]
                       {
-                          on_list(list);
+                          on_platform_list(list);
                       });
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(settings.platform_poll_interval_ms));
     }
 }
 
-void entry_process::implementation::on_list(const nlohmann::json& list)
+void entry_process::implementation::on_platform_list(const nlohmann::json& list)
 {
-    const auto now_in_force = table.load();
+    const auto snapshot = current_snapshot.load();
     for (const auto& item : list)
     {
         if (!item.is_object() || !item.contains("name") || !item["name"].is_string())
@@ -45,16 +45,16 @@
         }
         const backend_server_name server(item["name"].get<std::string>());
         const bool leaving = item.value("state", std::string()) == "leaving";
-        const auto known = listed_leaving.find(server);
-        if (known != listed_leaving.end() && known->second == leaving)
+        const auto known = leaving_by_server.find(server);
+        if (known != leaving_by_server.end() && known->second == leaving)
         {
             continue;
         }
-        listed_leaving[server] = leaving;
+        leaving_by_server[server] = leaving;
         log(log_level::info, "platform_list", {{"backend_server", server.str()}, {"leaving", leaving}});
-        for (const auto& [name, lane] : now_in_force->lanes)
+        for (const auto& [name, runner] : snapshot->runners)
         {
-            lane->post(listed{server, leaving});
+            runner->post(listed{server, leaving});
         }
     }
 }
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-constexpr duration link_tick = duration::from_ms(20);
+constexpr duration min_link_poll_interval = duration::from_ms(20);
 /// Links are looked at this often in a heartbeat, but no more often than @ref link_tick.
-constexpr double link_tick_share = 0.25;
-constexpr duration pools_every = duration::from_ms(1000);
+constexpr double link_poll_share = 0.25;
+constexpr duration pool_update_interval = duration::from_ms(1000);
 
 } // namespace
 
@@ -77,7 +77,7 @@
 
 void entry_process::implementation::check_suspension()
 {
-    const duration span = suspensions.since_last();
+    const duration span = suspension_detector.since_last();
     if (span == duration{})
     {
         return;
@@ -85,20 +85,20 @@
     log(log_level::warning, "was_suspended", {{"for_ms", span.ms()}});
     if (routed)
     {
-        routed->catch_up();
+        routed->handle_due_timers();
     }
-    for (const auto& [service, lane] : table.load()->lanes)
+    for (const auto& [service, runner] : current_snapshot.load()->runners)
     {
-        lane->post(time_passed{});
+        runner->post(time_passed{});
     }
 }
 
 void entry_process::implementation::drain()
 {
     draining = true;
-    drain_until = clock.now() + duration::from_ms(settings.drain_bound_ms);
-    drain_end = drain_until + duration::from_ms(settings.drain_bound_ms * settings.drain_end_share);
-    drained_at_least = clock.now() + duration::from_ms(settings.least_drain_ms);
+    drain_deadline = clock.now() + duration::from_ms(settings.drain_bound_ms);
+    final_answers_at = drain_deadline + duration::from_ms(settings.drain_bound_ms * settings.drain_end_share);
+    earliest_drain_end = clock.now() + duration::from_ms(settings.least_drain_ms);
     if (routed)
     {
         routed->close_after_reply();
@@ -109,27 +109,28 @@
     check_drained(0);
 }
 
-void entry_process::implementation::check_drained(int quiet_checks)
+void entry_process::implementation::check_drained(int idle_checks)
 {
     constexpr duration check_every = duration::from_ms(50);
-    constexpr int quiet_needed = 20;
+    constexpr int idle_checks_needed = 20;
     // For the last answers to leave: some ways to callers, within the tenth that a stop keeps back.
-    constexpr duration last_answers = duration::from_ms(200);
+    constexpr duration final_answer_grace = duration::from_ms(200);
     std::size_t open = callers.in_flight() + (routed ? routed->in_flight() : 0);
-    for (const auto& [name, lane] : table.load()->lanes)
+    for (const auto& [name, runner] : current_snapshot.load()->runners)
     {
-        open += lane->open_queries();
+        open += runner->open_queries();
     }
-    const int quiet = open == 0 ? quiet_checks + 1 : 0;
+    const int consecutive_idle = open == 0 ? idle_checks + 1 : 0;
     const time_point now = clock.now();
-    const bool quiet_long = quiet >= quiet_needed && now >= drained_at_least;
-    if (quiet_long || (now >= drain_until && open == 0) || now >= drain_end + last_answers)
+    const bool idle_long_enough = consecutive_idle >= idle_checks_needed && now >= earliest_drain_end;
+    if (idle_long_enough || (now >= drain_deadline && open == 0) ||
+        now >= final_answers_at + final_answer_grace)
     {
         log(log_level::info, "stopped", {{"in_flight", open}});
         io.stop();
         return;
     }
-    if (now >= drain_until && !closing)
+    if (now >= drain_deadline && !closing)
     {
         // Callers that still use their connections find them closed; what was read is answered.
         closing = true;
@@ -139,10 +140,10 @@
             routed->drain();
         }
     }
-    if (now >= drain_end && !answered_all)
+    if (now >= final_answers_at && !final_answers_sent)
     {
         // Ending with them open would cut requests that were passed on, without a word to their callers.
-        answered_all = true;
+        final_answers_sent = true;
         log(log_level::warning, "drain_bound_reached", {{"in_flight", open}});
         if (routed)
         {
@@ -150,9 +151,9 @@
         }
     }
     after(drain_timer, check_every,
-          [this, quiet]
+          [this, consecutive_idle]
           {
-              check_drained(quiet);
+              check_drained(consecutive_idle);
           });
 }
 
@@ -197,8 +198,9 @@
         [&self]
         {
             // Callers wait for the first link to control.
-            return self.serves() ? std::max(link_tick, self.settings.links.heartbeat * link_tick_share)
-                                 : link_tick;
+            return self.serves()
+                       ? std::max(min_link_poll_interval, self.settings.links.heartbeat * link_poll_share)
+                       : min_link_poll_interval;
         },
         [&self]
         {
@@ -210,13 +212,13 @@
                 {
                     self.report();
                 });
-    self.repeat(self.pools_timer, pools_every,
+    self.repeat(self.pools_timer, pool_update_interval,
                 [&self]
                 {
-                    const auto now_in_force = self.table.load();
-                    if (now_in_force->placed)
+                    const auto snapshot = self.current_snapshot.load();
+                    if (snapshot->placed)
                     {
-                        self.configure_pools(*now_in_force->placed, nullptr);
+                        self.configure_pools(*snapshot->placed, nullptr);
                     }
                 });
     self.on_signal();
--- a/src/entry/entry_process.hpp
+++ b/src/entry/entry_process.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "shell/http_server.hpp"
-#include "shell/service_lane.hpp"
+#include "shell/service_runner.hpp"
 #include "shell/settings.hpp"
 
 #include <flaxtiller/core/rcu_cell.hpp>
--- a/src/shell/routed_headers.hpp
+++ b/src/shell/routed_header_names.hpp
@@ -7,7 +7,7 @@
 
 /// @brief The names of the headers by which routed requests and their answers say more than HTTP does. The
 /// defaults are the product's own; an adapter may use others.
-struct routed_headers
+struct routed_header_names
 {
     /// A request's id, chosen by the caller; the backend server repeats it.
     std::string request_id = "X-Request-Id";
@@ -27,7 +27,7 @@
     std::string part_signatures = "X-Part-Signatures";
     std::string missing_parts = "X-Missing-Parts";
 
-    bool operator==(const routed_headers&) const = default;
+    bool operator==(const routed_header_names&) const = default;
 };
 
 } // namespace flaxtiller::shell
--- a/src/shell/routed_codec.cpp
+++ b/src/shell/routed_http_codec.cpp
@@ -1,4 +1,4 @@
-#include "routed_codec.hpp"
+#include "routed_http_codec.hpp"
 
 #include "http_status.hpp"
 #include "json_reply.hpp"
@@ -19,11 +19,11 @@
 /// How long after its deadline an attempt's answer is still awaited; then its connection is given up.
 constexpr duration answer_grace = duration::from_ms(250);
 /// What a caller that names no deadline is taken to wait; the route's time-out is what counts then.
-constexpr duration unstated_patience = duration::from_ms(3600000);
+constexpr duration default_caller_timeout = duration::from_ms(3600000);
 
 /// What may run once goes on a connection that was in use a moment ago, or on a new one: a new one costs a
 /// few milliseconds, and a lost request can't be sent again.
-constexpr duration most_rest_for_once = duration::from_ms(150);
+constexpr duration max_idle_time_for_non_repeatable = duration::from_ms(150);
 
 constexpr int first_server_error = 500;
 
@@ -37,8 +37,8 @@
     double ms = 0.0;
     const auto read = std::from_chars(text.data(), text.data() + text.size(), ms);
     const bool whole = read.ec == std::errc{} && read.ptr == text.data() + text.size();
-    constexpr double most_ms = 1e9;
-    if (!whole || ms < 0.0 || ms > most_ms)
+    constexpr double max_ms = 1e9;
+    if (!whole || ms < 0.0 || ms > max_ms)
     {
         return std::nullopt;
     }
@@ -51,12 +51,12 @@
     double seconds = 0.0;
     const std::string text = headers.value("Retry-After");
     std::from_chars(text.data(), text.data() + text.size(), seconds);
-    constexpr double most_seconds = 3600.0;
-    return duration::from_ms(1000.0 * std::min(std::max(seconds, 0.0), most_seconds));
+    constexpr double max_seconds = 3600.0;
+    return duration::from_ms(1000.0 * std::min(std::max(seconds, 0.0), max_seconds));
 }
 
 /// @return whether the backend server promises that it didn't run the request
-bool promises_not_run(const http_exchange_result& reply, const std::string& not_run_name)
+bool confirms_not_run(const http_exchange_result& reply, const std::string& not_run_name)
 {
     return reply.status == http_not_leader || reply.headers.find(not_run_name) != nullptr;
 }
@@ -119,11 +119,11 @@
 
 } // namespace
 
-std::optional<routed_request> routed_codec::read_request(const http_request& request) const
+std::optional<routed_request> routed_http_codec::read_request(const http_request& request) const
 {
     routed_request read;
     read.id = request.headers.value(m_names.request_id);
-    read.patience = unstated_patience;
+    read.patience = default_caller_timeout;
     if (const std::string* text = request.headers.find(m_names.deadline_ms))
     {
         const auto stated = parse_ms(*text);
@@ -150,7 +150,7 @@
     return read;
 }
 
-http_exchange routed_codec::write_attempt(const start_routed_attempt& attempt, duration left) const
+http_exchange routed_http_codec::write_attempt(const start_routed_attempt& attempt, duration left) const
 {
     http_exchange exchange;
     exchange.token = attempt.attempt;
@@ -167,14 +167,14 @@
     exchange.patience = left + answer_grace;
     if (!attempt.repeatable)
     {
-        exchange.most_rest = most_rest_for_once;
+        exchange.most_rest = max_idle_time_for_non_repeatable;
     }
     exchange.id_header = m_names.request_id;
     exchange.id = attempt.sent->id;
     return exchange;
 }
 
-routed_reply routed_codec::read_reply(http_exchange_result reply, bool part) const
+routed_reply routed_http_codec::read_reply(http_exchange_result reply, bool part) const
 {
     routed_reply read;
     switch (reply.end)
@@ -194,10 +194,10 @@
     case exchange_end::replied:
         break;
     }
-    if (promises_not_run(reply, m_names.not_run))
+    if (confirms_not_run(reply, m_names.not_run))
     {
-        const bool another = reply.status == http_not_leader;
-        read.result.status = another ? attempt_status::leaving : attempt_status::shed;
+        const bool different_instance = reply.status == http_not_leader;
+        read.result.status = different_instance ? attempt_status::leaving : attempt_status::shed;
         read.result.retry_after = retry_after(reply.headers);
         return read;
     }
@@ -222,7 +222,7 @@
     return read;
 }
 
-http_reply routed_codec::write_answer(const routed_outcome& outcome) const
+http_reply routed_http_codec::write_answer(const routed_outcome& outcome) const
 {
     if (outcome.end == routed_end::passed_on)
     {
--- a/src/shell/routed_codec.hpp
+++ b/src/shell/routed_http_codec.hpp
@@ -2,7 +2,7 @@
 
 #include "http_exchange.hpp"
 #include "http_server.hpp"
-#include "routed_headers.hpp"
+#include "routed_header_names.hpp"
 
 #include <flaxtiller/dispatch/attempt_result.hpp>
 #include <flaxtiller/routing/routed_outcome.hpp>
@@ -24,15 +24,15 @@
 };
 
 /// @brief Turns routed requests and answers into HTTP and back. Decides nothing.
-class routed_codec
+class routed_http_codec
 {
   public:
-    explicit routed_codec(routed_headers names) : m_names(std::move(names))
+    explicit routed_http_codec(routed_header_names names) : m_names(std::move(names))
     {
     }
 
     /// @return the caller's id for the request; empty if it gave none
-    std::string id_of(const http_request& request) const
+    std::string request_id_of(const http_request& request) const
     {
         return request.headers.value(m_names.request_id);
     }
@@ -55,7 +55,7 @@
     http_reply write_answer(const routed_outcome& outcome) const;
 
   private:
-    const routed_headers m_names;
+    const routed_header_names m_names;
 };
 
 } // namespace flaxtiller::shell
--- a/src/shell/routed_front.cpp
+++ b/src/shell/routing_frontend.cpp
@@ -1,4 +1,4 @@
-#include "routed_front.hpp"
+#include "routing_frontend.hpp"
 
 #include "http_status.hpp"
 #include "json_reply.hpp"
@@ -38,49 +38,51 @@
 
 } // namespace
 
-routed_front::routed_front(net::io_context& io, metrics& counted, const router_options& options,
-                           routed_headers names, sender send, owners_handler owners, crashes_handler crashes)
+routing_frontend::routing_frontend(net::io_context& io, metrics& counted, const router_options& options,
+                                   routed_header_names names, sender send, owners_handler owners,
+                                   crash_records_handler crashes)
     : m_metrics(counted), m_strand(net::make_strand(io)), m_timer(m_strand), m_codec(std::move(names)),
-      m_send(std::move(send)), m_owners(std::move(owners)), m_crashes(std::move(crashes)), m_router(options),
-      m_pools(m_strand, counted), m_server(io, limits_of({}),
-                                           [this](const http_request& request, http_server::respond respond)
-                                           {
-                                               on_request(request, std::move(respond));
-                                           })
+      m_send(std::move(send)), m_report_owners(std::move(owners)), m_report_crash_records(std::move(crashes)),
+      m_router(options), m_pools(m_strand, counted),
+      m_server(io, limits_of({}),
+               [this](const http_request& request, http_server::respond respond)
+               {
+                   on_request(request, std::move(respond));
+               })
 {
 }
 
-std::error_code routed_front::listen(const address& at)
+std::error_code routing_frontend::listen(const address& at)
 {
     return m_server.listen(at);
 }
 
-void routed_front::open()
+void routing_frontend::open()
 {
     m_open = true;
 }
 
-void routed_front::close_after_reply()
+void routing_frontend::close_after_reply()
 {
     m_server.close_after_reply();
 }
 
-void routed_front::drain()
+void routing_frontend::drain()
 {
     m_server.drain();
 }
 
-void routed_front::answer_all()
+void routing_frontend::answer_all()
 {
     net::dispatch(m_strand,
                   [this]
                   {
                       m_router.answer_all();
-                      carry_out();
+                      execute_actions();
                   });
 }
 
-std::size_t routed_front::in_flight() const noexcept
+std::size_t routing_frontend::in_flight() const noexcept
 {
     return m_server.in_flight();
 }
@@ -89,7 +91,7 @@
 // configuration
 // ---------------------------------------------------------------------------------------------------------
 
-void routed_front::update(const routing_view& view, const request_limits& limits)
+void routing_frontend::update(const routing_view& view, const request_limits& limits)
 {
     m_server.bound(limits_of(limits));
     net::dispatch(m_strand,
@@ -98,19 +100,19 @@
                       m_admission.configure(view);
                       m_router.configure(view, m_clock.now());
                       configure_pools(*view.placed);
-                      m_owners(m_router.owners_asked());
-                      carry_out();
+                      m_report_owners(m_router.owners_asked());
+                      execute_actions();
                   });
 }
 
-void routed_front::configure_pools(const placement& placed)
+void routing_frontend::configure_pools(const placement& placed)
 {
     for (const auto& [name, service] : placed.services)
     {
         const int sharers = m_router.sharers_of(name);
-        const auto [known, fresh] = m_pooled.try_emplace(name);
+        const auto [known, is_new] = m_services_with_pools.try_emplace(name);
         pooled_service& before = known->second;
-        if (!fresh && before.sharers == sharers && before.placed.is_same(service))
+        if (!is_new && before.sharers == sharers && before.placed.is_same(service))
         {
             continue;
         }
@@ -125,11 +127,11 @@
         release(*before.placed);
         before = {service, sharers};
     }
-    if (m_pooled.size() == placed.services.size())
+    if (m_services_with_pools.size() == placed.services.size())
     {
         return;
     }
-    std::erase_if(m_pooled,
+    std::erase_if(m_services_with_pools,
                   [&](const auto& item)
                   {
                       const bool declared = placed.services.count(item.first) > 0;
@@ -141,19 +143,19 @@
                   });
 }
 
-void routed_front::configure_pool(const backend_server& server, int sharers)
+void routing_frontend::configure_pool(const backend_server& server, int sharers)
 {
-    pool_bounds& bounds = m_servers[server.name];
-    ++bounds.uses;
+    pool_state& pool = m_servers[server.name];
+    ++pool.uses;
     const int connections = dispatch::direct_share_of(server, sharers).connections;
-    if (bounds.born_ms != server.born_ms)
+    if (pool.born_ms != server.born_ms)
     {
         // Connections to its earlier life may hang: it crashed, and a machine without power says nothing.
         m_pools.remove(server.name);
-        bounds.address.clear();
-        bounds.born_ms = server.born_ms;
+        pool.address.clear();
+        pool.born_ms = server.born_ms;
     }
-    if (bounds.address == server.address && bounds.connections == connections)
+    if (pool.address == server.address && pool.connections == connections)
     {
         return;
     }
@@ -164,13 +166,13 @@
             {{"backend_server", server.name.str()}, {"address", server.address}});
         return;
     }
-    bounds.address = server.address;
-    bounds.connections = connections;
+    pool.address = server.address;
+    pool.connections = connections;
     m_pools.configure(server.name, *at, connections, 0);
 }
 
 /// The pools of backend servers that nothing names any more are removed.
-void routed_front::release(const placed_service& service)
+void routing_frontend::release(const placed_service& service)
 {
     for (const auto& replicas : service.shards)
     {
@@ -190,14 +192,14 @@
 // requests
 // ---------------------------------------------------------------------------------------------------------
 
-void routed_front::on_request(const http_request& request, http_server::respond respond)
+void routing_frontend::on_request(const http_request& request, http_server::respond respond)
 {
     m_metrics.add(metrics::counter::queries);
     if (!m_open.load(std::memory_order_acquire))
     {
         m_metrics.add(metrics::counter::answers_refused);
         log(log_level::info, "request_refused",
-            {{"request", m_codec.id_of(request)},
+            {{"request", m_codec.request_id_of(request)},
              {"target", request.target},
              {"reason", "no confirmed configuration"}});
         respond(not_ready());
@@ -208,7 +210,7 @@
     {
         m_metrics.add(metrics::counter::malformed_requests);
         log(log_level::info, "request_malformed",
-            {{"request", m_codec.id_of(request)}, {"target", request.target}});
+            {{"request", m_codec.request_id_of(request)}, {"target", request.target}});
         respond(
             error_reply(http_bad_request, errc::message_malformed, "needs an id and a readable deadline"));
         return;
@@ -219,7 +221,7 @@
         net::dispatch(m_strand,
                       [this, number]
                       {
-                          on_gone(number);
+                          on_caller_gone(number);
                       });
     };
     caller from;
@@ -236,28 +238,29 @@
                   });
 }
 
-void routed_front::arrive_from_caller(request_number number, routed_request request, const std::string& key,
-                                      caller from)
+void routing_frontend::arrive_from_caller(request_number number, routed_request request,
+                                          const std::string& key, caller from)
 {
     const time_point now = m_clock.now();
     from.arrived = now;
     m_callers.emplace(number, std::move(from));
     m_admission.arrive(number, std::move(request), key, now);
-    carry_out();
+    execute_actions();
 }
 
 /// Another entry asks: it has admitted the request.
-void routed_front::arrive(request_number number, std::shared_ptr<const routed_request> request, caller from)
+void routing_frontend::arrive(request_number number, std::shared_ptr<const routed_request> request,
+                              caller from)
 {
     const time_point now = m_clock.now();
     from.arrived = now;
-    m_asked[{from.asked_by, from.asked_number}] = number;
+    m_delegations[{from.delegated_by, from.delegation}] = number;
     m_callers.emplace(number, std::move(from));
     m_router.arrive(number, std::move(request), now);
-    carry_out();
+    execute_actions();
 }
 
-void routed_front::on_gone(request_number number)
+void routing_frontend::on_caller_gone(request_number number)
 {
     const auto found = m_callers.find(number);
     if (found == m_callers.end())
@@ -266,18 +269,18 @@
     }
     log(log_level::info, "caller_gone",
         {{"request", found->second.id}, {"after_ms", (m_clock.now() - found->second.arrived).ms()}});
-    m_asked.erase({found->second.asked_by, found->second.asked_number});
+    m_delegations.erase({found->second.delegated_by, found->second.delegation});
     m_callers.erase(found);
     m_admission.caller_gone(number);
     m_router.caller_gone(number, m_clock.now());
-    carry_out();
+    execute_actions();
 }
 
 // ---------------------------------------------------------------------------------------------------------
 // inspection
 // ---------------------------------------------------------------------------------------------------------
 
-void routed_front::dump(std::function<void(nlohmann::json)> done)
+void routing_frontend::dump(std::function<void(nlohmann::json)> done)
 {
     net::post(m_strand,
               [this, done = std::move(done)]
@@ -286,7 +289,7 @@
               });
 }
 
-nlohmann::json routed_front::dump_state() const
+nlohmann::json routing_frontend::dump_state() const
 {
     nlohmann::json teams = nlohmann::json::object();
     for (const auto& [name, counted] : m_admission.counted())
--- a/src/shell/routed_front.hpp
+++ b/src/shell/routing_frontend.hpp
@@ -4,7 +4,7 @@
 #include "http_server.hpp"
 #include "link_message.hpp"
 #include "pools_by_server.hpp"
-#include "routed_codec.hpp"
+#include "routed_http_codec.hpp"
 
 #include <flaxtiller/catalog/configuration.hpp>
 #include <flaxtiller/core/clock.hpp>
@@ -25,7 +25,7 @@
 {
 
 /// @brief Takes routed requests over HTTP, and carries out what the @ref router decides.
-class routed_front
+class routing_frontend
 {
   public:
     /// Sends to another process, by name.
@@ -35,10 +35,11 @@
     using owners_handler = std::function<void(std::set<instance_name>)>;
 
     /// Told what changed of requests that crash backend servers; called on the front's strand.
-    using crashes_handler = std::function<void(const crash_news&)>;
+    using crash_records_handler = std::function<void(const crash_news&)>;
 
-    routed_front(boost::asio::io_context& io, metrics& counted, const router_options& options,
-                 routed_headers names, sender send, owners_handler owners, crashes_handler crashes);
+    routing_frontend(boost::asio::io_context& io, metrics& counted, const router_options& options,
+                     routed_header_names names, sender send, owners_handler owners,
+                     crash_records_handler crashes);
 
     std::error_code listen(const address& at);
 
@@ -47,9 +48,9 @@
     void update(const routing_view& view, const request_limits& limits);
 
     /// @brief Another entry asks, answers, or no longer waits. Thread-safe.
-    void on_ask(const std::string& from, const std::shared_ptr<const routed_ask>& asked);
-    void on_return(const std::string& from, const std::shared_ptr<const routed_return>& returned);
-    void on_abandon(const std::string& from, const routed_abandon& abandoned);
+    void on_delegation(const std::string& from, const std::shared_ptr<const routed_ask>& delegated);
+    void on_delegation_outcome(const std::string& from, const std::shared_ptr<const routed_return>& returned);
+    void on_delegation_abandoned(const std::string& from, const routed_abandon& abandoned);
 
     /// @brief A control replica's word on limits; only that of the keeper counts. Thread-safe.
     void on_limit_word(const std::string& from, const std::shared_ptr<const limit_word>& word);
@@ -58,14 +59,14 @@
     void on_crash_news(const std::string& from, const std::shared_ptr<const crash_news>& news);
 
     /// @brief Tells the control replicas all that is known of such requests. Thread-safe.
-    void tell_all_crashes();
+    void report_all_crash_records();
 
     /// @brief The control replica that keeps the limits of teams. Thread-safe.
     /// @param heard whether it was heard of just now
-    void set_limit_keeper(std::string name, bool heard);
+    void set_rate_limit_coordinator(std::string name, bool contacted_now);
 
     /// @brief The link to another entry broke. Thread-safe.
-    void on_entry_lost(const std::string& name);
+    void on_entry_unreachable(const std::string& name);
 
     /// @brief From now on requests are taken; before, all are refused as not run.
     void open();
@@ -80,7 +81,7 @@
     void answer_all();
 
     /// @brief Does what is due, whatever the timers say. Thread-safe.
-    void catch_up();
+    void handle_due_timers();
 
     /// @return requests that aren't replied to yet
     std::size_t in_flight() const noexcept;
@@ -97,11 +98,11 @@
         std::string team{};
         time_point arrived;
         /// The entry that asks on its caller's behalf; empty for a caller of this one's own.
-        std::string asked_by;
-        ask_number asked_number = 0;
+        std::string delegated_by;
+        ask_number delegation = 0;
     };
 
-    struct pool_bounds
+    struct pool_state
     {
         std::string address;
         int connections = 0;
@@ -120,54 +121,54 @@
     void arrive(request_number number, std::shared_ptr<const routed_request> request, caller from);
     void arrive_from_caller(request_number number, routed_request request, const std::string& key,
                             caller from);
-    void carry(const admit_request& action);
-    void carry(const turn_away_request& action);
-    void carry(const report_use& action);
+    void execute(const admit_request& action);
+    void execute(const turn_away_request& action);
+    void execute(const report_use& action);
     void log_over_limit(const turn_away_request& action) const;
-    void on_gone(request_number number);
+    void on_caller_gone(request_number number);
     void on_no_longer_awaited(request_number number);
-    void carry_out();
-    void carry(const ask_entry& action);
-    void carry(const abandon_at_entry& action);
-    void carry(const start_routed_attempt& action);
-    void carry(const cancel_routed_attempt& action);
-    void carry(const answer_request& action);
-    void carry(const tell_progress_to_entry& action);
-    void carry(const tell_crash_records& action);
-    void carry(const note_standing& action);
+    void execute_actions();
+    void execute(const ask_entry& action);
+    void execute(const abandon_at_entry& action);
+    void execute(const start_routed_attempt& action);
+    void execute(const cancel_routed_attempt& action);
+    void execute(const answer_request& action);
+    void execute(const tell_progress_to_entry& action);
+    void execute(const tell_crash_records& action);
+    void execute(const note_standing& action);
     void on_reply(const start_routed_attempt& sent, time_point sent_at, http_exchange_result reply);
     void on_time();
-    void schedule();
+    void schedule_timer();
     void configure_pools(const placement& placed);
     void configure_pool(const backend_server& server, int sharers);
     void release(const placed_service& service);
-    void log_answer(const caller& from, const routed_outcome& outcome, duration took) const;
+    void log_answer(const caller& from, const routed_outcome& outcome, duration elapsed) const;
     nlohmann::json dump_state() const;
 
     metrics& m_metrics;
     boost::asio::strand<boost::asio::io_context::executor_type> m_strand;
     boost::asio::steady_timer m_timer;
-    time_point m_timer_at = time_point::never();
+    time_point m_timer_expiry = time_point::never();
     monotonic_clock m_clock;
-    const routed_codec m_codec;
+    const routed_http_codec m_codec;
     const sender m_send;
-    const owners_handler m_owners;
-    const crashes_handler m_crashes;
+    const owners_handler m_report_owners;
+    const crash_records_handler m_report_crash_records;
     std::atomic<bool> m_open{false};
     std::atomic<request_number> m_next_request{1};
     // On the strand only.
     caller_admission m_admission;
     router m_router;
     /// The control replica that keeps the limits; empty while none is known.
-    std::string m_limit_keeper;
+    std::string m_rate_limit_coordinator;
     pools_by_server<connection_pool> m_pools;
     /// The services whose pools are configured.
-    std::map<service_name, pooled_service> m_pooled;
+    std::map<service_name, pooled_service> m_services_with_pools;
     /// What the pools were last told, by backend server.
-    std::unordered_map<backend_server_name, pool_bounds> m_servers;
+    std::unordered_map<backend_server_name, pool_state> m_servers;
     std::unordered_map<request_number, caller> m_callers;
     /// Requests that other entries asked for, by their name and number.
-    std::map<std::pair<std::string, ask_number>, request_number> m_asked;
+    std::map<std::pair<std::string, ask_number>, request_number> m_delegations;
     std::unordered_map<routed_attempt_number, std::shared_ptr<connection_pool>> m_attempts;
     http_server m_server;
 };
--- a/src/shell/routed_front_actions.cpp
+++ b/src/shell/routing_frontend_actions.cpp
@@ -1,6 +1,6 @@
 // Carries out what the router decides.
 
-#include "routed_front.hpp"
+#include "routing_frontend.hpp"
 
 #include "log.hpp"
 
@@ -103,44 +103,44 @@
 template <typename Name>
 std::string joined(const std::vector<Name>& names)
 {
-    constexpr std::size_t most_shown = 8;
+    constexpr std::size_t max_shown = 8;
     std::string text;
-    for (std::size_t i = 0; i < names.size() && i < most_shown; ++i)
+    for (std::size_t i = 0; i < names.size() && i < max_shown; ++i)
     {
         text += (text.empty() ? "" : ",") + names[i].str();
     }
-    return names.size() > most_shown ? text + ",..." : text;
+    return names.size() > max_shown ? text + ",..." : text;
 }
 
 } // namespace
 
-void routed_front::carry_out()
+void routing_frontend::execute_actions()
 {
     for (const admission_action& action : m_admission.take_actions(m_clock.now()))
     {
         std::visit(
             [this](const auto& item)
             {
-                carry(item);
+                execute(item);
             },
             action);
     }
-    for (auto todo = m_router.take_actions(); !todo.empty(); todo = m_router.take_actions())
+    for (auto pending = m_router.take_actions(); !pending.empty(); pending = m_router.take_actions())
     {
-        for (const router_action& action : todo)
+        for (const router_action& action : pending)
         {
             std::visit(
                 [this](const auto& item)
                 {
-                    carry(item);
+                    execute(item);
                 },
                 action);
         }
     }
-    schedule();
+    schedule_timer();
 }
 
-void routed_front::carry(const admit_request& action)
+void routing_frontend::execute(const admit_request& action)
 {
     const auto from = m_callers.find(action.request);
     if (from != m_callers.end())
@@ -150,37 +150,37 @@
     }
 }
 
-void routed_front::carry(const turn_away_request& action)
+void routing_frontend::execute(const turn_away_request& action)
 {
     if (action.over_limit)
     {
         log_over_limit(action);
     }
-    carry(answer_request{action.request, action.outcome});
+    execute(answer_request{action.request, action.outcome});
 }
 
-void routed_front::log_over_limit(const turn_away_request& action) const
+void routing_frontend::log_over_limit(const turn_away_request& action) const
 {
     const auto from = m_callers.find(action.request);
     const rate_limiter::decision& made = *action.over_limit;
     log(log_level::info, "over_limit",
         {{"request", from == m_callers.end() ? std::string() : from->second.id},
          {"team", made.team.str()},
-         {"keeper", m_limit_keeper},
+         {"keeper", m_rate_limit_coordinator},
          {"alone", made.alone},
          {"heard_ms_ago", made.heard_ago.ms()},
          {"retry_after_ms", made.retry_after.ms()}});
 }
 
-void routed_front::carry(const report_use& action)
+void routing_frontend::execute(const report_use& action)
 {
-    if (!m_limit_keeper.empty())
+    if (!m_rate_limit_coordinator.empty())
     {
-        m_send(m_limit_keeper, action.report);
+        m_send(m_rate_limit_coordinator, action.report);
     }
 }
 
-void routed_front::carry(const start_routed_attempt& action)
+void routing_frontend::execute(const start_routed_attempt& action)
 {
     m_metrics.add(metrics::counter::attempts);
     const time_point now = m_clock.now();
@@ -213,7 +213,8 @@
                });
 }
 
-void routed_front::on_reply(const start_routed_attempt& sent, time_point sent_at, http_exchange_result reply)
+void routing_frontend::on_reply(const start_routed_attempt& sent, time_point sent_at,
+                                http_exchange_result reply)
 {
     const time_point now = m_clock.now();
     m_attempts.erase(sent.attempt);
@@ -237,10 +238,10 @@
              {"failure_rate", scheduler == nullptr ? 0.0 : scheduler->failure_rate_of(sent.server, now)},
              {"allowance", scheduler == nullptr ? 0.0 : scheduler->budget()}});
     }
-    carry_out();
+    execute_actions();
 }
 
-void routed_front::carry(const cancel_routed_attempt& action)
+void routing_frontend::execute(const cancel_routed_attempt& action)
 {
     m_metrics.add(metrics::counter::cancels);
     const auto found = m_attempts.find(action.attempt);
@@ -250,7 +251,7 @@
     }
 }
 
-void routed_front::carry(const answer_request& action)
+void routing_frontend::execute(const answer_request& action)
 {
     const auto found = m_callers.find(action.request);
     if (found == m_callers.end())
@@ -259,23 +260,23 @@
     }
     const caller from = std::move(found->second);
     m_callers.erase(found);
-    const duration took = m_clock.now() - from.arrived;
+    const duration elapsed = m_clock.now() - from.arrived;
     routed_outcome outcome = action.outcome;
-    outcome.took = took;
-    if (from.asked_by.empty())
+    outcome.took = elapsed;
+    if (from.delegated_by.empty())
     {
         m_metrics.add(counter_of(outcome));
-        m_metrics.observe(metrics::timer::query, took);
+        m_metrics.observe(metrics::timer::query, elapsed);
     }
     else
     {
-        m_asked.erase({from.asked_by, from.asked_number});
+        m_delegations.erase({from.delegated_by, from.delegation});
     }
-    log_answer(from, outcome, took);
+    log_answer(from, outcome, elapsed);
     from.respond(outcome);
 }
 
-void routed_front::carry(const tell_progress_to_entry& action)
+void routing_frontend::execute(const tell_progress_to_entry& action)
 {
     const auto found = m_callers.find(action.request);
     if (found != m_callers.end())
@@ -284,12 +285,12 @@
     }
 }
 
-void routed_front::carry(const tell_crash_records& action)
+void routing_frontend::execute(const tell_crash_records& action)
 {
-    m_crashes(crash_news{action.records});
+    m_report_crash_records(crash_news{action.records});
 }
 
-void routed_front::carry(const note_standing& action)
+void routing_frontend::execute(const note_standing& action)
 {
     using standing = crash_ledger::standing;
     if (action.standing != standing::clear)
@@ -311,11 +312,11 @@
          {"held", action.held}});
 }
 
-void routed_front::log_answer(const caller& from, const routed_outcome& outcome, duration took) const
+void routing_frontend::log_answer(const caller& from, const routed_outcome& outcome, duration elapsed) const
 {
     log(log_level::info, "answer",
         {{"request", from.id},
-         {"asked_by", from.asked_by},
+         {"asked_by", from.delegated_by},
          {"team", from.team},
          {"route", outcome.route},
          {"end", name_of(outcome.end)},
@@ -329,42 +330,42 @@
          {"attempts", outcome.attempts},
          {"retry_after_ms", outcome.retry_after.ms()},
          {"revision", outcome.revision},
-         {"after_ms", took.ms()}});
+         {"after_ms", elapsed.ms()}});
 }
 
-void routed_front::schedule()
+void routing_frontend::schedule_timer()
 {
     const time_point next = std::min(m_router.next_time(), m_admission.next_time());
-    if (next >= m_timer_at && m_timer_at > m_clock.now())
+    if (next >= m_timer_expiry && m_timer_expiry > m_clock.now())
     {
         // It is set for an earlier moment already, and is set anew then.
         return;
     }
-    m_timer_at = next;
+    m_timer_expiry = next;
     if (next == time_point::never())
     {
         return;
     }
     m_timer.expires_after(std::chrono::microseconds((next - m_clock.now()).us()));
     m_timer.async_wait(
-        [this, next](const boost::system::error_code& stopped)
+        [this, next](const boost::system::error_code& error)
         {
-            if (!stopped && m_timer_at == next)
+            if (!error && m_timer_expiry == next)
             {
                 on_time();
             }
         });
 }
 
-void routed_front::on_time()
+void routing_frontend::on_time()
 {
-    m_timer_at = time_point::never();
+    m_timer_expiry = time_point::never();
     m_admission.on_time(m_clock.now());
     m_router.on_time(m_clock.now());
-    carry_out();
+    execute_actions();
 }
 
-void routed_front::catch_up()
+void routing_frontend::handle_due_timers()
 {
     net::dispatch(m_strand,
                   [this]
--- /dev/null
+++ b/src/shell/routing_frontend_entries.cpp
@@ -0,0 +1,175 @@
+// What entries ask of one another.
+
+#include "routing_frontend.hpp"
+
+#include "log.hpp"
+
+#include <boost/asio/dispatch.hpp>
+
+#include <utility>
+
+namespace flaxtiller::shell
+{
+
+namespace net = boost::asio;
+
+void routing_frontend::on_delegation(const std::string& from,
+                                     const std::shared_ptr<const routed_ask>& delegated)
+{
+    caller requester;
+    requester.id = delegated->request.id;
+    requester.delegated_by = from;
+    requester.delegation = delegated->number;
+    requester.respond = [this, from, number = delegated->number](const routed_outcome& outcome)
+    {
+        m_send(from, routed_return{number, outcome});
+    };
+    if (!m_open.load(std::memory_order_acquire))
+    {
+        requester.respond(routed_outcome{});
+        return;
+    }
+    net::dispatch(m_strand,
+                  [this, number = m_next_request++, requester = std::move(requester),
+                   request = std::shared_ptr<const routed_request>(delegated, &delegated->request)]
+                  {
+                      arrive(number, request, requester);
+                  });
+}
+
+void routing_frontend::on_delegation_outcome(const std::string& from,
+                                             const std::shared_ptr<const routed_return>& returned)
+{
+    net::dispatch(m_strand,
+                  [this, from, returned]
+                  {
+                      m_router.entry_answered(instance_name(from), returned->number, returned->outcome,
+                                              m_clock.now());
+                      execute_actions();
+                  });
+}
+
+void routing_frontend::on_delegation_abandoned(const std::string& from, const routed_abandon& abandoned)
+{
+    net::dispatch(m_strand,
+                  [this, from, abandoned]
+                  {
+                      const auto found = m_delegations.find({from, abandoned.number});
+                      if (found == m_delegations.end())
+                      {
+                          return;
+                      }
+                      abandoned.stops ? on_caller_gone(found->second) : on_no_longer_awaited(found->second);
+                  });
+}
+
+void routing_frontend::on_no_longer_awaited(request_number number)
+{
+    const auto found = m_callers.find(number);
+    log(log_level::info, "no_longer_awaited",
+        {{"request", found->second.id},
+         {"asked_by", found->second.delegated_by},
+         {"after_ms", (m_clock.now() - found->second.arrived).ms()}});
+    m_delegations.erase({found->second.delegated_by, found->second.delegation});
+    m_callers.erase(found);
+    m_router.no_longer_awaited(number);
+    execute_actions();
+}
+
+void routing_frontend::on_limit_word(const std::string& from, const std::shared_ptr<const limit_word>& word)
+{
+    net::dispatch(m_strand,
+                  [this, from, word]
+                  {
+                      if (from != m_rate_limit_coordinator)
+                      {
+                          // A replica that was frozen may not know yet that another one leads.
+                          log(log_level::info, "limit_word_ignored",
+                              {{"from", from}, {"keeper", m_rate_limit_coordinator}});
+                          return;
+                      }
+                      m_admission.on_limit_word(*word, m_clock.now());
+                      execute_actions();
+                  });
+}
+
+void routing_frontend::on_crash_news(const std::string& from, const std::shared_ptr<const crash_news>& news)
+{
+    net::dispatch(m_strand,
+                  [this, from, news]
+                  {
+                      log(log_level::debug, "crash_news", {{"from", from}, {"items", news->items.size()}});
+                      m_router.on_crash_records(news->items, m_clock.now());
+                      execute_actions();
+                  });
+}
+
+void routing_frontend::report_all_crash_records()
+{
+    net::dispatch(m_strand,
+                  [this]
+                  {
+                      crash_news known{m_router.crashes().all(1, m_clock.now())};
+                      if (!known.items.empty())
+                      {
+                          m_report_crash_records(known);
+                      }
+                  });
+}
+
+void routing_frontend::set_rate_limit_coordinator(std::string name, bool contacted_now)
+{
+    net::dispatch(m_strand,
+                  [this, contacted_now, name = std::move(name)]
+                  {
+                      if (name != m_rate_limit_coordinator)
+                      {
+                          log(log_level::info, "limit_keeper",
+                              {{"replica", name}, {"before", m_rate_limit_coordinator}});
+                          m_rate_limit_coordinator = name;
+                      }
+                      if (contacted_now)
+                      {
+                          m_admission.on_keeper_heard(m_clock.now());
+                      }
+                  });
+}
+
+void routing_frontend::on_entry_unreachable(const std::string& name)
+{
+    net::dispatch(m_strand,
+                  [this, name]
+                  {
+                      m_router.entry_lost(instance_name(name), m_clock.now());
+                      execute_actions();
+                  });
+}
+
+void routing_frontend::execute(const ask_entry& action)
+{
+    if (action.again)
+    {
+        log(log_level::info, "group_asked_again",
+            {{"request", action.sent->id},
+             {"entry", action.peer.str()},
+             {"shards", action.shards.size()},
+             {"first", action.shards.front()}});
+    }
+    routed_ask delegated{action.number, *action.sent};
+    delegated.request.patience = action.patience;
+    delegated.request.asked_list = action.list;
+    delegated.request.asked_shards = action.shards;
+    delegated.request.designated = action.designated;
+    delegated.request.answer_within = action.answer_within;
+    delegated.request.progress_within = action.progress_within;
+    delegated.request.asked_again = action.again;
+    delegated.request.asked_regions = action.regions;
+    m_send(action.peer.str(), delegated);
+}
+
+void routing_frontend::execute(const abandon_at_entry& action)
+{
+    m_send(action.peer.str(), routed_abandon{action.number, action.stops});
+}
+
+} // namespace flaxtiller::shell
--- a/src/shell/service_lane.cpp
+++ b/src/shell/service_runner.cpp
@@ -1,4 +1,4 @@
-#include "service_lane.hpp"
+#include "service_runner.hpp"
 
 #include "json_reply.hpp"
 #include "log.hpp"
@@ -17,25 +17,25 @@
 {
 
 /// How long the register is asked to record an outcome; the caller is answered sooner if need be.
-constexpr duration finish_bound = duration::from_ms(10000);
+constexpr duration finish_timeout = duration::from_ms(10000);
 
-std::uint64_t first_serial_of(const lane_context& context)
+std::uint64_t first_serial_of(const service_runner_context& context)
 {
     // Numbers of an earlier run of this instance must not come again; 40 bits leave room for the parts.
-    constexpr std::uint64_t low_bits = (std::uint64_t{1} << 40U) - 1;
-    return context.run & low_bits;
+    constexpr std::uint64_t low_40_bits = (std::uint64_t{1} << 40U) - 1;
+    return context.run & low_40_bits;
 }
 
 } // namespace
 
-service_lane::service_lane(lane_context& context, service_name service)
+service_runner::service_runner(service_runner_context& context, service_name service)
     : m_context(context), m_service(std::move(service)), m_strand(boost::asio::make_strand(context.io)),
       m_timer(m_strand), m_coordinator(context.self, m_service, context.options, first_serial_of(context))
 {
     m_context.trace.begin(m_service, m_context.self, first_serial_of(context));
 }
 
-void service_lane::ask(query_request request, told done)
+void service_runner::submit(query_request request, completion done)
 {
     boost::asio::post(
         m_strand,
@@ -47,46 +47,47 @@
         });
 }
 
-void service_lane::post(coordinator_event happened)
+void service_runner::post(coordinator_event incoming_event)
 {
     boost::asio::post(m_strand,
-                      [self = shared_from_this(), happened = std::move(happened)]
+                      [self = shared_from_this(), incoming_event = std::move(incoming_event)]
                       {
-                          self->handle(happened);
+                          self->handle(incoming_event);
                       });
 }
 
-void service_lane::handle(const coordinator_event& happened)
+void service_runner::handle(const coordinator_event& incoming_event)
 {
     const time_point now = m_clock.now();
-    if (const auto* changed = std::get_if<placement_changed>(&happened))
+    if (const auto* changed = std::get_if<placement_changed>(&incoming_event))
     {
         m_placed = changed->placed;
     }
-    m_context.trace.event(m_service, happened, now);
-    m_coordinator.handle(happened, now);
-    carry_out();
-    schedule();
+    m_context.trace.event(m_service, incoming_event, now);
+    m_coordinator.handle(incoming_event, now);
+    execute_actions();
+    schedule_timer();
     m_open.store(m_coordinator.open_queries(), std::memory_order_relaxed);
 }
 
-void service_lane::carry_out()
+void service_runner::execute_actions()
 {
-    for (auto todo = m_coordinator.take_actions(); !todo.empty(); todo = m_coordinator.take_actions())
+    for (auto pending = m_coordinator.take_actions(); !pending.empty();
+         pending = m_coordinator.take_actions())
     {
-        for (const coordinator_action& action : todo)
+        for (const coordinator_action& action : pending)
         {
             std::visit(
                 [this](const auto& item)
                 {
-                    carry(item);
+                    execute(item);
                 },
                 action);
         }
     }
 }
 
-void service_lane::schedule()
+void service_runner::schedule_timer()
 {
     const time_point next = m_coordinator.next_time();
     if (next == m_timer_at)
@@ -101,9 +102,9 @@
     }
     m_timer.expires_after(std::chrono::microseconds((next - m_clock.now()).us()));
     m_timer.async_wait(
-        [self = shared_from_this(), next](const boost::system::error_code& stopped)
+        [self = shared_from_this(), next](const boost::system::error_code& error)
         {
-            if (!stopped && self->m_timer_at == next)
+            if (!error && self->m_timer_at == next)
             {
                 self->m_timer_at = time_point::never();
                 self->handle(time_passed{});
@@ -115,7 +116,7 @@
 // actions
 // ---------------------------------------------------------------------------------------------------------
 
-void service_lane::carry(const dispatch::start_attempt& action)
+void service_runner::execute(const dispatch::start_attempt& action)
 {
     m_context.counted.add(metrics::counter::attempts);
     const auto pool = m_context.pools.find(action.server);
@@ -148,7 +149,7 @@
                });
 }
 
-void service_lane::carry(const dispatch::cancel_attempt& action)
+void service_runner::execute(const dispatch::cancel_attempt& action)
 {
     m_context.counted.add(metrics::counter::cancels);
     const auto found = m_attempts.find(action.attempt);
@@ -158,24 +159,24 @@
     }
 }
 
-void service_lane::carry(const ask_peer& action)
+void service_runner::execute(const ask_peer& action)
 {
     m_context.counted.add(metrics::counter::subqueries_to_peers, action.subqueries.size());
     m_context.links.send(action.peer.str(), ask_message{m_service, action.subqueries});
 }
 
-void service_lane::carry(const answer_peer& action)
+void service_runner::execute(const answer_peer& action)
 {
     m_context.counted.add(metrics::counter::subqueries_for_peers, action.results.size());
     m_context.links.send(action.peer.str(), answer_message{m_service, action.results});
 }
 
-void service_lane::carry(const abandon_at_peer& action)
+void service_runner::execute(const abandon_at_peer& action)
 {
     m_context.links.send(action.peer.str(), abandon_message{m_service, action.numbers});
 }
 
-register_command service_lane::command_for(query_id query, const query_request& request) const
+register_command service_runner::make_register_command(query_id query, const query_request& request) const
 {
     register_command command;
     command.key = request.key;
@@ -186,9 +187,9 @@
     return command;
 }
 
-void service_lane::carry(const register_begin& action)
+void service_runner::execute(const register_begin& action)
 {
-    register_command command = command_for(action.query, action.request);
+    register_command command = make_register_command(action.query, action.request);
     command.action = register_action::begin;
     m_context.registers.call(command, action.request.deadline,
                              [self = shared_from_this(), id = action.query](const register_reply& reply)
@@ -197,13 +198,13 @@
                              });
 }
 
-void service_lane::carry(const register_finish& action)
+void service_runner::execute(const register_finish& action)
 {
-    register_command command = command_for(action.query, action.request);
+    register_command command = make_register_command(action.query, action.request);
     command.action = register_action::finish;
     command.outcome = action.answer.outcome;
     command.answer = to_text(action.answer);
-    m_context.registers.call(command, finish_bound,
+    m_context.registers.call(command, finish_timeout,
                              [self = shared_from_this(), id = action.query](const register_reply& reply)
                              {
                                  if (reply.status != register_status::unreachable)
@@ -213,7 +214,7 @@
                              });
 }
 
-void service_lane::carry(const answer_caller& action)
+void service_runner::execute(const answer_caller& action)
 {
     const auto found = m_callers.find(action.query);
     if (found == m_callers.end())
@@ -223,7 +224,7 @@
     const time_point now = m_clock.now();
     m_context.trace.answer(m_service, action, now);
     m_context.counted.observe(metrics::timer::query, now - found->second.arrived);
-    const told done = std::move(found->second.done);
+    const completion done = std::move(found->second.done);
     m_callers.erase(found);
     done(action.answer);
 }
@@ -232,12 +233,12 @@
 // inspection
 // ---------------------------------------------------------------------------------------------------------
 
-std::size_t service_lane::open_queries() const noexcept
+std::size_t service_runner::open_queries() const noexcept
 {
     return m_open.load(std::memory_order_relaxed);
 }
 
-void service_lane::dump(std::function<void(nlohmann::json)> done)
+void service_runner::dump(std::function<void(nlohmann::json)> done)
 {
     boost::asio::post(m_strand,
                       [self = shared_from_this(), done = std::move(done)]
@@ -246,7 +247,7 @@
                       });
 }
 
-nlohmann::json service_lane::dump_state() const
+nlohmann::json service_runner::dump_state() const
 {
     const auto& scheduler = m_coordinator.scheduler();
     const time_point now = m_clock.now();
--- a/src/shell/service_lane.hpp
+++ b/src/shell/service_runner.hpp
@@ -21,7 +21,7 @@
 {
 
 /// @brief What all lanes of an entry share.
-struct lane_context
+struct service_runner_context
 {
     boost::asio::io_context& io;
     pools_by_server<backend_pool>& pools;
@@ -38,18 +38,18 @@
 /// @brief Runs the decisions for one service on a strand of its own and carries out what they want.
 ///
 /// Lanes share no lock: a service that is flooded takes no other service's turn but its share of the threads.
-class service_lane : public std::enable_shared_from_this<service_lane>
+class service_runner : public std::enable_shared_from_this<service_runner>
 {
   public:
-    using told = std::function<void(const query_answer&)>;
+    using completion = std::function<void(const query_answer&)>;
 
-    service_lane(lane_context& context, service_name service);
+    service_runner(service_runner_context& context, service_name service);
 
     /// @brief Asks a query; @a done is called once, on the lane's strand.
-    void ask(query_request request, told done);
+    void submit(query_request request, completion done);
 
     /// @brief Takes in what happened elsewhere. Thread-safe.
-    void post(coordinator_event happened);
+    void post(coordinator_event incoming_event);
 
     /// @brief Calls @a done with a dump of the decisions' state, on the lane's strand.
     void dump(std::function<void(nlohmann::json)> done);
@@ -64,23 +64,23 @@
         std::string id;
     };
 
-    void handle(const coordinator_event& happened);
-    void carry_out();
-    void schedule();
+    void handle(const coordinator_event& incoming_event);
+    void execute_actions();
+    void schedule_timer();
     nlohmann::json dump_state() const;
 
-    void carry(const dispatch::start_attempt& action);
-    void carry(const dispatch::cancel_attempt& action);
-    void carry(const ask_peer& action);
-    void carry(const answer_peer& action);
-    void carry(const abandon_at_peer& action);
-    void carry(const register_begin& action);
-    void carry(const register_finish& action);
-    void carry(const answer_caller& action);
+    void execute(const dispatch::start_attempt& action);
+    void execute(const dispatch::cancel_attempt& action);
+    void execute(const ask_peer& action);
+    void execute(const answer_peer& action);
+    void execute(const abandon_at_peer& action);
+    void execute(const register_begin& action);
+    void execute(const register_finish& action);
+    void execute(const answer_caller& action);
 
-    register_command command_for(query_id query, const query_request& request) const;
+    register_command make_register_command(query_id query, const query_request& request) const;
 
-    lane_context& m_context;
+    service_runner_context& m_context;
     const service_name m_service;
     boost::asio::strand<boost::asio::io_context::executor_type> m_strand;
     boost::asio::steady_timer m_timer;
@@ -91,7 +91,7 @@
     query_id m_next_query = 1;
     struct caller
     {
-        told done;
+        completion done;
         time_point arrived;
     };
     std::unordered_map<query_id, caller> m_callers;
--- a/src/shell/settings.hpp
+++ b/src/shell/settings.hpp
@@ -2,7 +2,7 @@
 
 #include "address.hpp"
 #include "log.hpp"
-#include "routed_headers.hpp"
+#include "routed_header_names.hpp"
 
 #include <flaxtiller/core/findings.hpp>
 #include <flaxtiller/dispatch/scheduler_options.hpp>
@@ -69,7 +69,7 @@
     router_options routing;
     /// The regions of the availability zones, to know which backend servers are near.
     std::map<std::string, std::string> region_of_zone;
-    routed_headers routed_names;
+    routed_header_names routed_names;
     /// Where the platform lists live and leaving backend servers; port 0 for none.
     address platform_list;
     int platform_poll_interval_ms = 500;
--- a/tests/src/unit-routed-codec.cpp
+++ b/tests/src/unit-routed-http-codec.cpp
@@ -1,4 +1,4 @@
-#include "shell/routed_codec.hpp"
+#include "shell/routed_http_codec.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -57,7 +57,7 @@
 
 TEST_CASE("a routed request on its way", "[http]")
 {
-    const routed_codec codec{routed_headers{}};
+    const routed_http_codec codec{routed_header_names{}};
 
     SECTION("goes on unchanged but for deadline and expected server")
     {
@@ -95,7 +95,7 @@
 
 TEST_CASE("what a backend server's reply means", "[http]")
 {
-    const routed_codec codec{routed_headers{}};
+    const routed_http_codec codec{routed_header_names{}};
     const auto status_of = [&](int status, header_list headers, bool part = false)
     {
         return codec.read_reply(reply_with(status, std::move(headers)), part).result.status;
@@ -147,7 +147,7 @@
 
 TEST_CASE("the final answer over HTTP", "[http]")
 {
-    const routed_codec codec{routed_headers{}};
+    const routed_http_codec codec{routed_header_names{}};
     routed_outcome outcome;
 
     SECTION("merged")
--- a/tests/src/unit-teams.cpp
+++ b/tests/src/unit-teams.cpp
@@ -1,6 +1,6 @@
 #include "platform/configuration_codec.hpp"
 #include "platform/names.hpp"
-#include "shell/routed_codec.hpp"
+#include "shell/routed_http_codec.hpp"
 
 #include <flaxtiller/catalog/catalog_state.hpp>
 #include <flaxtiller/catalog/diff.hpp>
@@ -184,7 +184,7 @@
 
 TEST_CASE("a caller's key goes no further, and its team is what the entry found", "[teams]")
 {
-    const shell::routed_codec codec(platform::header_names());
+    const shell::routed_http_codec codec(platform::header_names());
     shell::http_request request;
     request.method = "GET";
     request.target = "/a/x";
