--- a/src/entry/entry_callers.cpp
+++ b/src/entry/entry_callers.cpp
@@ -13,7 +13,9 @@
 namespace
 {
 
-/// Beyond this, the configuration counts as stale: the balancer is told, answers go on and say its age.
+/// If no leader has confirmed the configuration for longer than this, the configuration counts as stale: the
+/// health check reports it to the load balancer, while queries are still answered, with the configuration's
+/// age.
 constexpr duration stale_threshold = duration::from_ms(3000);
 
 int status_of(const query_answer& answer)
--- a/src/entry/entry_configuration.cpp
+++ b/src/entry/entry_configuration.cpp
@@ -11,7 +11,8 @@
 namespace
 {
 
-/// Unanswered reports after which another replica may lead.
+/// Number of report intervals without a confirmation after which the leader counts as lost, since another
+/// replica may lead by then.
 constexpr double missed_reports_until_leader_lost = 2.5;
 
 } // namespace
@@ -66,8 +67,9 @@
     }
 }
 
-/// A replica names another leader than the one that was heard last: it is told at once, so that it knows this
-/// entry when it counts.
+/// If a replica names a leader other than the last known leader, and that one sent no confirmation lately,
+/// the entry reports to the new leader at once, so that the new leader includes this entry when it counts
+/// entries.
 void entry_process::implementation::on_leader_named(const std::string& name)
 {
     const time_point now = clock.now();
@@ -107,8 +109,9 @@
     }
 }
 
-/// Which zones are evacuated, and which routes no availability zone may serve: what an operator asks first
-/// where requests are refused.
+/// Starts the warm-up of backend servers in availability zones that are no longer evacuated. Logs the
+/// evacuated zones, and the routes that no availability zone may serve, since these explain most refused
+/// requests.
 void entry_process::implementation::apply_zone_changes()
 {
     const configuration& current = *subscriber.current();
@@ -252,7 +255,7 @@
                 const auto at = parse_address(server.address);
                 const dispatch::connection_share share = dispatch::share_of(server, candidates);
                 kept.insert(server.name);
-                // Connections are kept ready where this instance is the one that will use them.
+                // Connections are opened in advance only if this instance is the owner that will use them.
                 pools.configure(server.name, at.value_or(address{}), share.connections,
                                 owned ? share.connections : 0);
             }
@@ -344,7 +347,7 @@
     {
         routed->set_rate_limit_coordinator(control.first_by_name(), false);
     }
-    // One that doesn't serve yet waits for the leader's word.
+    // An entry that doesn't serve callers yet needs the confirmation of the leader, and reports every time.
     const bool leader_waits =
         serves() && now - leader_reported_at < leader_report_interval - settings.report_every * 0.5;
     const registration_digest known{registered.digest()};
--- a/src/entry/entry_implementation.hpp
+++ b/src/entry/entry_implementation.hpp
@@ -40,15 +40,20 @@
 
 namespace net = boost::asio;
 
-/// @brief What a request reads, by read-copy-update: the placement in force and the lane of each service.
+/// @brief An immutable snapshot that requests read without locks, by read-copy-update: the active placement,
+/// and the runner of each service.
 struct routing_snapshot
 {
     std::shared_ptr<const placement> placed;
     std::map<service_name, std::shared_ptr<service_runner>> runners;
 };
 
-/// @brief The parts of an entry process and how they hang together. Its members are defined by job:
-/// entry_callers.cpp, entry_links.cpp, entry_configuration.cpp, entry_platform_list.cpp, entry_process.cpp.
+/// @brief The state and the components of an entry process, and the connections between them.
+///
+/// Members without a lock are used on @ref strand only, unless they are atomic or thread-safe. The member
+/// functions are defined by topic: requests of callers and operators in entry_callers.cpp, messages from
+/// other processes in entry_links.cpp, the configuration in entry_configuration.cpp, the list of the platform
+/// in entry_platform_list.cpp, start and stop in entry_process.cpp.
 struct entry_process::implementation
 {
     static std::vector<std::string> names_of(const std::vector<named_address>& items);
@@ -140,16 +145,17 @@
     service_runner_context runner_context;
     rcu_cell<routing_snapshot> current_snapshot;
     distribution::subscriber subscriber;
-    /// Microseconds of the monotonic clock at which a leader last confirmed the revision; 0 for never.
+    /// When a leader last confirmed the active revision, in microseconds of the monotonic clock; 0 for never.
     std::atomic<std::int64_t> confirmed_at_us{0};
     std::atomic<bool> draining{false};
     time_point drain_deadline{};
-    /// What is in flight gets its final answer then.
+    /// When all requests still in flight are given their final answers.
     time_point final_answers_at{};
     bool closing = false;
-    /// Whether it got it.
+    /// Whether these final answers were sent.
     bool final_answers_sent = false;
-    /// New connections may come until then: the balancer needs to notice.
+    /// New connections are accepted at least until then, since the load balancer takes time to notice the
+    /// drain.
     time_point earliest_drain_end{};
     suspension_watch suspension_detector;
     std::set<std::string> reachable;
@@ -158,34 +164,35 @@
     std::unique_ptr<routing_frontend> routed;
     registry registered;
     warmup_tracker warmups;
-    /// Where routed requests may go: the declared backend servers and the registered ones.
+    /// The backend servers that may receive routed requests: the declared ones and the registered ones.
     live_placement routed_placement;
-    /// Entry instances that share the backend servers, as the leader counts them; 0 while that isn't known.
+    /// Number of entry instances that share the backend servers, as counted by the leader; 0 if unknown.
     int entry_count = 0;
-    /// The other entries, by name, as a leader listed them.
+    /// The other entries, by name, from the entry list of a leader.
     std::map<instance_name, entry_peer> listed_entries;
-    /// The same list as requests read it, and those of it that can't be reached.
+    /// The same entries in the form that the router uses, and the ones among them that are unreachable.
     shared_value<std::vector<entry_peer>> listed_peers;
     shared_value<std::set<instance_name>> unreachable;
-    /// Those that this one keeps links to, and when each was last needed.
+    /// The entries that this entry keeps links to, and when each link was last needed.
     std::map<instance_name, time_point> linked_entries;
-    /// The routes of the revision in force.
+    /// The routes of the active revision.
     std::shared_ptr<const route_table> routes = std::make_shared<const route_table>();
-    /// And its teams.
+    /// The teams of the active revision.
     std::shared_ptr<const team_table> teams = std::make_shared<const team_table>();
     bool routing_update_pending = false;
-    /// Registrations that changed since the view was last to be updated.
+    /// Number of registrations that changed since an update of the routing was last scheduled.
     std::size_t changes_since_update = 0;
-    /// As of the revision in force.
+    /// The evacuated availability zones of the active revision.
     std::set<std::string> evacuated_zones;
-    /// The replica that last said under its lease what the present revision is, and when.
+    /// The replica that last confirmed the current revision under its leader lease, or that another replica
+    /// named as the leader since; and the time of this message.
     std::string leader;
     time_point leader_contact_at{};
     time_point leader_reported_at{};
-    /// How often it wants to hear from this entry.
+    /// The interval at which the leader expects reports from this entry.
     duration leader_report_interval = duration::from_ms(1000);
     std::int64_t leader_revision = 0;
-    /// Which replica's updates this entry follows.
+    /// Selects the control replica from which this entry receives updates.
     distribution::replica_choice control_choice;
     std::map<backend_server_name, bool> leaving_by_server;
     std::thread platform_poller;
@@ -219,7 +226,8 @@
     void on_message(const std::shared_ptr<const hello>& from,
                     const std::shared_ptr<const link_message>& message);
 
-    /// @return whether it was a message between entries on a routed request
+    /// @brief Passes messages that concern routed requests to the routing frontend.
+    /// @return whether the message was such a message
     bool on_routed(const hello& from, const std::shared_ptr<const link_message>& message);
 
     void on_cluster_message(const hello& from, const link_message& message);
@@ -228,32 +236,36 @@
 
     static void log_registrations(const hello& from, const std::vector<registration>& changes);
 
-    /// A replica's word on where the others are.
+    /// Handles the member list of a control replica.
     void on_control_members(const hello& from, const control_members& member_list);
 
     void on_control_replicas_changed();
 
-    /// Soon puts what changed in this entry's surroundings in force; changes that come together share it.
+    /// Schedules @ref update_routing after a short delay, so that changes within this delay are applied
+    /// together.
     void schedule_routing_update();
 
     void update_routing();
 
-    /// Notes which of the listed entries can't be reached.
+    /// Updates the set of listed entries that are unreachable.
     void update_unreachable();
 
-    /// Links to the owners of the shards that callers ask for, and to a few entries of each other region.
+    /// Establishes links to the owners of the shards that callers request, and to a few entries of each other
+    /// region.
     void link_to_entries(const std::set<instance_name>& owners);
 
     void on_entry_list(const entry_list& list);
 
-    /// Tells the control replica that this entry follows; all of them where that can't be reached.
+    /// Sends crash records to the control replica that this entry follows, or to all control replicas if that
+    /// replica is unreachable.
     void report_crash_records(const crash_news& news);
 
-    /// Of each other region this one links to a few entries, other ones than its neighbours do, so that links
-    /// don't grow with the square of the instances.
+    /// Selects a few entries of each other region to link to. Each entry selects different ones, by a hash of
+    /// both names, so that the number of links doesn't grow with the square of the number of instances.
     std::set<instance_name> remote_entries() const;
 
-    /// The control replicas that can be reached, and how far they are.
+    /// @return the reachable control replicas with their distances: same availability zone, same region, or
+    /// another region
     std::vector<distribution::replica_choice::candidate> control_candidates() const;
 
     void post_to_service(const service_name& service, coordinator_event event);
@@ -286,24 +298,25 @@
 
     void report();
 
-    /// @return whether its configuration was ever confirmed, so that it serves callers
+    /// @return whether a leader has confirmed the configuration since the start, so that callers are served
     bool serves() const noexcept
     {
         return confirmed_at_us.load(std::memory_order_relaxed) != 0;
     }
 
-    // ------------------------------------------------------------------ the platform's list
+    // ------------------------------------------------------------------ instance list of the platform
 
     void poll_platform();
 
     void on_platform_list(const nlohmann::json& list);
 
-    // ------------------------------------------------------------------ life
+    // ------------------------------------------------------------------ start, stop and timers
 
-    /// After a suspension, what was due meanwhile is done at once, before its timers go off.
+    /// After a suspension of the process, handles all expired deadlines at once, since the timers may fire
+    /// late.
     void check_suspension();
 
-    /// @brief Does @a work once, unless the timer is stopped or set anew before.
+    /// @brief Calls @a work once after @a pause, unless the timer is cancelled or set again before that.
     template <typename Work>
     void after(net::steady_timer& timer, duration pause, Work work)
     {
@@ -318,7 +331,8 @@
             });
     }
 
-    /// @param every tells how long to wait until the next time
+    /// @brief Calls @a work repeatedly.
+    /// @param every returns the pause before the next call
     template <typename Interval, typename Work>
     void repeat(net::steady_timer& timer, Interval every, Work work)
     {
--- a/src/entry/entry_links.cpp
+++ b/src/entry/entry_links.cpp
@@ -13,17 +13,19 @@
 namespace
 {
 
-/// Changes of the surroundings that come within this share one update; the fastest that operators and backend
-/// servers wait for is seconds.
+/// Changes of registrations, entries or reachability that arrive within this delay are applied in one update
+/// of the routing. Operators and backend servers rely on no change to take effect within less than seconds.
 constexpr duration min_update_delay = duration::from_ms(100);
-/// After many changes the next ones wait longer, up to a moment that nobody notices: while thousands of
-/// backend servers register, updates ten times a second were most of what a small instance did.
+/// Each registration changed since the previous update lengthens the delay by this much, up to
+/// @ref max_update_delay. While thousands of backend servers register, ten updates per second took most of
+/// the CPU time of a small instance.
 constexpr duration update_delay_per_change = duration::from_ms(5);
 constexpr duration max_update_delay = duration::from_ms(500);
-/// A link that isn't needed any more is kept for this long: owners change with backend servers that come and
-/// go, and a new link costs more than a minute of heartbeats.
+/// A link is kept open for this long after it was last needed. The owners of shards change whenever backend
+/// servers come and go, and opening a new link costs more than one minute of heartbeats.
 constexpr duration unused_link_lifetime = duration::from_ms(60000);
-/// Links to entries of each other region: enough that one may fail and another be passed over.
+/// Number of entries of each other region to link to. With three links, one entry may fail and another may be
+/// skipped because of back-off.
 constexpr std::size_t links_per_remote_region = 3;
 
 } // namespace
@@ -151,7 +153,7 @@
 void entry_process::implementation::log_registrations(const hello& from,
                                                       const std::vector<registration>& changes)
 {
-    // All of them, at a start: what each says stands in the control replica's log.
+    // At start-up the update holds all registrations. Each registration is in the log of the control replica.
     constexpr std::size_t max_lines = 32;
     if (changes.size() > max_lines)
     {
@@ -269,7 +271,7 @@
     bool changed = false;
     for (const instance_name& name : needed)
     {
-        // Owners may have left the list since they were worked out.
+        // An owner may have been removed from the entry list since the owners were computed.
         if (listed_entries.count(name) > 0)
         {
             changed = linked_entries.insert_or_assign(name, now).second || changed;
@@ -358,7 +360,8 @@
                   }
                   if (up && control.knows(name))
                   {
-                      // Its answer confirms the configuration, without which a starting entry serves nobody.
+                      // The answer to the report confirms the configuration; without a confirmation, a
+                      // starting entry doesn't serve callers.
                       report();
                       if (routed)
                       {
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -13,7 +13,8 @@
 {
 
 constexpr duration min_link_poll_interval = duration::from_ms(20);
-/// Links are looked at this often in a heartbeat, but no more often than @ref link_tick.
+/// The interval for polling links, as a fraction of the heartbeat interval; at least
+/// @ref min_link_poll_interval.
 constexpr double link_poll_share = 0.25;
 constexpr duration pool_update_interval = duration::from_ms(1000);
 
@@ -56,7 +57,8 @@
             }
             if (number == SIGHUP)
             {
-                log(log_level::info, "reload_ignored", {{"reason", "settings hold from start to stop"}});
+                log(log_level::info, "reload_ignored",
+                    {{"reason", "settings hold from start to stop"}});
                 on_signal();
                 return;
             }
@@ -105,7 +107,7 @@
     }
     log(log_level::info, "draining",
         {{"in_flight", callers.in_flight()}, {"bound_ms", settings.drain_bound_ms}});
-    // New connections go on being accepted until the balancer has noticed; see docs/OPERATIONS.md.
+    // New connections are accepted until the load balancer has removed this instance; see docs/OPERATIONS.md.
     check_drained(0);
 }
 
@@ -113,7 +115,8 @@
 {
     constexpr duration check_every = duration::from_ms(50);
     constexpr int idle_checks_needed = 20;
-    // For the last answers to leave: some ways to callers, within the tenth that a stop keeps back.
+    // Time for the final answers to reach their callers: several one-way latencies, within the tenth of the
+    // drain bound that is reserved for the end of the process.
     constexpr duration final_answer_grace = duration::from_ms(200);
     std::size_t open = callers.in_flight() + (routed ? routed->in_flight() : 0);
     for (const auto& [name, runner] : current_snapshot.load()->runners)
@@ -132,7 +135,7 @@
     }
     if (now >= drain_deadline && !closing)
     {
-        // Callers that still use their connections find them closed; what was read is answered.
+        // Closes the connections that callers still use. Requests that were already read are answered.
         closing = true;
         callers.drain();
         if (routed)
@@ -142,7 +145,8 @@
     }
     if (now >= final_answers_at && !final_answers_sent)
     {
-        // Ending with them open would cut requests that were passed on, without a word to their callers.
+        // Ending the process now would drop requests that were already forwarded, without an answer to their
+        // callers.
         final_answers_sent = true;
         log(log_level::warning, "drain_bound_reached", {{"in_flight", open}});
         if (routed)
@@ -197,7 +201,7 @@
         self.link_timer,
         [&self]
         {
-            // Callers wait for the first link to control.
+            // Callers are refused until the first link to a control replica is established.
             return self.serves()
                        ? std::max(min_link_poll_interval, self.settings.links.heartbeat * link_poll_share)
                        : min_link_poll_interval;
--- a/src/entry/entry_process.hpp
+++ b/src/entry/entry_process.hpp
@@ -13,7 +13,10 @@
 namespace flaxtiller::shell
 {
 
-/// @brief The `entry` process: serves callers, runs the decisions, follows the configuration.
+/// @brief The `entry` process, which accepts requests from callers and sends them to backend servers.
+///
+/// An entry receives its configuration and the registered backend servers from the control replicas. It
+/// serves callers from the moment a control leader has first confirmed its configuration.
 class entry_process
 {
   public:
@@ -22,22 +25,27 @@
     entry_process(const entry_process&) = delete;
     entry_process& operator=(const entry_process&) = delete;
 
-    /// @brief Takes its addresses.
-    /// @return findings; with an error the process must not run
+    /// @brief Opens the listening sockets for callers, routed requests, operators and links.
+    /// @return findings; if they contain an error, @ref run must not be called
     findings open();
 
-    /// @brief Serves until it is told to stop by SIGTERM or SIGINT and what is in flight has ended.
-    /// @return the exit status
+    /// @brief Serves callers until SIGTERM or SIGINT arrives, then drains: answers the requests in flight
+    /// within the bounds of the settings. A second signal ends the process at once.
+    /// @return the exit status of the process
     int run();
 
-    // ------------------------------------------------------------------ for an adapter
+    // ------------------------------------------------------------------ for adapters
 
     using gateway_handler = std::function<http_reply(const entry_process&, const http_request&)>;
 
-    /// @brief Serves HTTP at a further address by @a handler, which is called from any thread.
+    /// @brief Serves HTTP at an additional address.
+    /// @param at the address to listen at
+    /// @param handler answers each request; called from any thread, also concurrently
+    /// @return findings; with an error if the address can't be used
     findings serve(const address& at, gateway_handler handler);
 
-    /// @return whether new callers shall come: a leader confirmed its configuration, and it isn't stopping
+    /// @return whether the entry accepts new callers: a leader has confirmed its configuration, and the entry
+    /// isn't draining
     bool is_ready() const;
 
   private:
--- a/src/entry/known_control_replicas.hpp
+++ b/src/entry/known_control_replicas.hpp
@@ -11,11 +11,12 @@
 namespace flaxtiller::shell
 {
 
-/// @brief Which control replicas an entry knows: those of its settings, and those that any replica that can
-/// be reached names.
+/// @brief The control replicas that an entry can contact: the replicas named in the settings of the entry,
+/// and every replica on the member list of any reachable replica.
 ///
-/// One replica's word doesn't take away what another one says: a wiped one knows the founders only, until it
-/// has learned the log again, and the leader may not be among these.
+/// The result is the union of all member lists, so a list that lacks a replica doesn't remove a replica that
+/// another list names. A replica that lost its data lists only the founding members until it has received the
+/// replicated log again, and the leader may not be one of the founding members.
 class known_control_replicas
 {
   public:
@@ -24,16 +25,18 @@
     {
     }
 
-    /// @brief A replica named all that its log has.
-    /// @return whether the known replicas changed
+    /// @brief Stores the member list that a replica sent; it replaces the previous list of this replica.
+    /// @param from name of the sending replica
+    /// @param names link addresses of all members in the log of the sending replica
+    /// @return whether the set of known replicas changed
     bool on_member_list(const std::string& from, const std::vector<std::string>& names)
     {
         m_reported[from] = names;
         return update();
     }
 
-    /// @brief A replica can't be reached any more: its word counts only as long as no other one's is there.
-    /// @return whether the known replicas changed
+    /// @brief Discards the member list of a replica that became unreachable, unless it is the only list.
+    /// @return whether the set of known replicas changed
     bool on_unreachable(const std::string& from)
     {
         if (m_reported.size() < 2)
@@ -43,13 +46,13 @@
         return m_reported.erase(from) > 0 && update();
     }
 
-    /// @return the known replicas; those of the settings first
+    /// @return the known replicas, starting with the replicas from the settings
     const std::vector<named_address>& replicas() const noexcept
     {
         return m_replicas;
     }
 
-    /// @return the first of the known replicas by name; empty where none is known
+    /// @return the name of the known replica that sorts first; empty if no replica is known
     std::string first_by_name() const
     {
         const auto least = std::min_element(m_replicas.begin(), m_replicas.end(),
@@ -60,7 +63,7 @@
         return least == m_replicas.end() ? std::string() : least->name;
     }
 
-    /// @return whether a replica of this name is known
+    /// @return whether a replica with this name is known
     bool knows(const std::string& name) const
     {
         return holds(m_replicas, name);
--- a/tests/src/unit-known-control-replicas.cpp
+++ b/tests/src/unit-known-control-replicas.cpp
@@ -22,24 +22,24 @@
 
 } // namespace
 
-TEST_CASE("the control replicas that an entry knows", "[entry]")
+TEST_CASE("an entry merges the member lists of all reachable control replicas", "[entry]")
 {
     known_control_replicas known(seeds());
     CHECK(known.replicas().size() == 3);
 
-    SECTION("a replica names others")
+    SECTION("a member list adds replicas that the settings don't name")
     {
         CHECK(known.on_member_list("10.0.0.1:7", all));
         CHECK(known.knows("10.0.0.4:7"));
         CHECK_FALSE(known.on_member_list("10.0.0.2:7", all));
     }
-    SECTION("a wiped replica, which knows the founders only, takes nothing away")
+    SECTION("the list of a replica that lost its data, with the founding members only, removes no replica")
     {
         known.on_member_list("10.0.0.1:7", all);
         CHECK_FALSE(known.on_member_list("10.0.0.2:7", founders));
         CHECK(known.knows("10.0.0.4:7"));
     }
-    SECTION("one that left the set is forgotten once no replica names it")
+    SECTION("a removed replica is forgotten once no member list names it")
     {
         known.on_member_list("10.0.0.1:7", all);
         known.on_member_list("10.0.0.3:7", all);
@@ -47,7 +47,7 @@
         CHECK(known.on_member_list("10.0.0.3:7", founders));
         CHECK_FALSE(known.knows("10.0.0.4:7"));
     }
-    SECTION("the last word of a lost replica counts until another one speaks")
+    SECTION("the list of an unreachable replica stays in use until another replica sends its list")
     {
         known.on_member_list("10.0.0.1:7", all);
         CHECK_FALSE(known.on_unreachable("10.0.0.1:7"));
@@ -56,7 +56,7 @@
         CHECK(known.on_unreachable("10.0.0.1:7"));
         CHECK_FALSE(known.knows("10.0.0.4:7"));
     }
-    SECTION("names that aren't addresses are left out")
+    SECTION("names that aren't addresses are ignored")
     {
         CHECK_FALSE(known.on_member_list("10.0.0.1:7", {"c1"}));
     }
