--- a/src/shell/routed_header_names.hpp
+++ b/src/shell/routed_header_names.hpp
@@ -5,25 +5,27 @@
 namespace flaxtiller::shell
 {
 
-/// @brief The names of the headers by which routed requests and their answers say more than HTTP does. The
-/// defaults are the product's own; an adapter may use others.
+/// @brief The names of the HTTP headers that carry the metadata of routed requests and of their answers, such
+/// as deadline, team and signature. The defaults are the names of this product; an adapter may use other
+/// names.
 struct routed_header_names
 {
-    /// A request's id, chosen by the caller; the backend server repeats it.
+    /// Request: the id that the caller chose. The backend server repeats the id in its reply.
     std::string request_id = "X-Request-Id";
-    /// Milliseconds that the sender waits.
+    /// Request: the time in milliseconds that the sender waits for the answer.
     std::string deadline_ms = "X-Deadline-Ms";
-    /// To a backend server: the id of the only one that shall run the request.
+    /// Request to a backend server: the id of the backend server that the request is meant for. Any other one
+    /// must reject the request.
     std::string expected_server = "X-Expect-Server";
-    /// From a caller: the key that tells its team. It goes to nobody else.
+    /// Request from a caller: the key that identifies the caller's team. The key isn't forwarded.
     std::string key = "X-Key";
-    /// To a backend server: the caller's team, whatever the caller itself says there.
+    /// Request to a backend server: the caller's team. Replaces any value that the caller sent.
     std::string team = "X-Team";
-    /// From a backend server: its signature of the answer.
+    /// Reply of a backend server: its signature of the answer.
     std::string signature = "X-Signature";
-    /// From a backend server: the request wasn't run.
+    /// Reply of a backend server: present if the backend server didn't run the request.
     std::string not_run = "X-Not-Run";
-    /// Of a merged answer: the signatures of its parts, and how many parts are missing.
+    /// Merged answer: the signatures of its parts, and the number of missing parts.
     std::string part_signatures = "X-Part-Signatures";
     std::string missing_parts = "X-Missing-Parts";
 
--- a/src/shell/routed_http_codec.cpp
+++ b/src/shell/routed_http_codec.cpp
@@ -16,13 +16,15 @@
 namespace
 {
 
-/// How long after its deadline an attempt's answer is still awaited; then its connection is given up.
+/// How long after its deadline the answer of an attempt is still awaited before the connection is closed.
 constexpr duration answer_grace = duration::from_ms(250);
-/// What a caller that names no deadline is taken to wait; the route's time-out is what counts then.
+/// The time that a caller without a deadline header is assumed to wait, so that the time-out of the route
+/// alone determines the deadline of the request.
 constexpr duration default_caller_timeout = duration::from_ms(3600000);
 
-/// What may run once goes on a connection that was in use a moment ago, or on a new one: a new one costs a
-/// few milliseconds, and a lost request can't be sent again.
+/// A request that isn't repeatable is sent on a connection that was idle for at most this time, or on a new
+/// connection. A new connection costs a few milliseconds, whereas a request that is lost on a connection
+/// closed by the other end can't be sent again.
 constexpr duration max_idle_time_for_non_repeatable = duration::from_ms(150);
 
 constexpr int first_server_error = 500;
@@ -45,7 +47,7 @@
     return duration::from_ms(ms);
 }
 
-/// @return what `Retry-After` says in seconds, or zero
+/// @return the value of `Retry-After`, which is in seconds; zero if there is none
 duration retry_after(const http_fields& headers)
 {
     double seconds = 0.0;
@@ -55,7 +57,7 @@
     return duration::from_ms(1000.0 * std::min(std::max(seconds, 0.0), max_seconds));
 }
 
-/// @return whether the backend server promises that it didn't run the request
+/// @return whether the backend server confirms that it didn't run the request
 bool confirms_not_run(const http_exchange_result& reply, const std::string& not_run_name)
 {
     return reply.status == http_not_leader || reply.headers.find(not_run_name) != nullptr;
@@ -206,7 +208,8 @@
     read.result.status = attempt_status::cut;
     if (success && signature.empty())
     {
-        // Not the backend server's own word: nothing of it is passed on.
+        // A success without a signature isn't from the backend server itself. Nothing of the reply is
+        // forwarded.
         return read;
     }
     if (success || (!part && reply.status < first_server_error))
--- a/src/shell/routed_http_codec.hpp
+++ b/src/shell/routed_http_codec.hpp
@@ -14,16 +14,19 @@
 namespace flaxtiller::shell
 {
 
-/// @brief What a backend server's reply means.
+/// @brief The interpretation of a backend server's reply.
 struct routed_reply
 {
     dispatch::attempt_result result;
-    /// The whole answer, be it a success or a failure; nothing where the request wasn't run or no answer
-    /// came.
+    /// The complete answer, whether success or failure; null if the request wasn't run or no answer was
+    /// received.
     std::shared_ptr<const backend_answer> answer;
 };
 
-/// @brief Turns routed requests and answers into HTTP and back. Decides nothing.
+/// @brief Converts routed requests, attempts and answers to and from HTTP messages.
+///
+/// The codec has no state and makes no decisions on routing; see @ref routing_frontend for the server that
+/// uses it.
 class routed_http_codec
 {
   public:
@@ -31,27 +34,32 @@
     {
     }
 
-    /// @return the caller's id for the request; empty if it gave none
+    /// @return the id that the caller chose for the request; empty if there is none
     std::string request_id_of(const http_request& request) const
     {
         return request.headers.value(m_names.request_id);
     }
 
-    /// @return the key that the caller shows; empty for none
+    /// @return the key of the caller, which identifies its team; empty if there is none
     std::string key_of(const http_request& request) const
     {
         return request.headers.value(m_names.key);
     }
 
-    /// @return the request, without the caller's key, or nothing where it has no id or an unreadable deadline
+    /// @brief Reads a caller's request. The caller's key and the headers that are set for each attempt are
+    /// removed.
+    /// @return the request, or nothing if it has no id or a malformed deadline
     std::optional<routed_request> read_request(const http_request& request) const;
 
-    /// @param left until the attempt's deadline
+    /// @brief Writes the HTTP request of an attempt at a backend server.
+    /// @param left time left until the deadline of the attempt
     http_exchange write_attempt(const start_routed_attempt& attempt, duration left) const;
 
-    /// @param part whether only a signed success counts
+    /// @brief Interprets the reply of a backend server, or the reason why there is no reply.
+    /// @param part whether the reply is one part of a merged answer; only a signed success counts as a part
     routed_reply read_reply(http_exchange_result reply, bool part) const;
 
+    /// @brief Writes the final answer to the caller.
     http_reply write_answer(const routed_outcome& outcome) const;
 
   private:
--- a/src/shell/routing_frontend.cpp
+++ b/src/shell/routing_frontend.cpp
@@ -116,7 +116,8 @@
         {
             continue;
         }
-        // Those that stay are counted before the earlier ones are released, so that their pools are kept.
+        // The new backend servers are counted before the old ones are released, so that the pools of backend
+        // servers in both sets are kept.
         for (const auto& replicas : service->shards)
         {
             for (const backend_server& server : replicas)
@@ -150,7 +151,8 @@
     const int connections = dispatch::direct_share_of(server, sharers).connections;
     if (pool.born_ms != server.born_ms)
     {
-        // Connections to its earlier life may hang: it crashed, and a machine without power says nothing.
+        // Connections to the previous run of the backend server may hang: an instance that lost power doesn't
+        // close its connections.
         m_pools.remove(server.name);
         pool.address.clear();
         pool.born_ms = server.born_ms;
@@ -171,7 +173,7 @@
     m_pools.configure(server.name, *at, connections, 0);
 }
 
-/// The pools of backend servers that nothing names any more are removed.
+/// Removes the pools of backend servers that no shard of any service is placed on.
 void routing_frontend::release(const placed_service& service)
 {
     for (const auto& replicas : service.shards)
@@ -248,7 +250,7 @@
     execute_actions();
 }
 
-/// Another entry asks: it has admitted the request.
+/// Accepts a request that another entry delegated. That entry has already checked admission.
 void routing_frontend::arrive(request_number number, std::shared_ptr<const routed_request> request,
                               caller from)
 {
--- a/src/shell/routing_frontend.hpp
+++ b/src/shell/routing_frontend.hpp
@@ -24,17 +24,25 @@
 namespace flaxtiller::shell
 {
 
-/// @brief Takes routed requests over HTTP, and carries out what the @ref router decides.
+/// @brief The HTTP server of an entry for routed requests.
+///
+/// A routed request is an HTTP request that the @ref router forwards to one backend server, or to the shards
+/// of a service, by the routes of the configuration. The frontend receives requests from callers and
+/// delegated shards from other entries, passes them to the @ref caller_admission and the router as events,
+/// and executes the actions that these return: it sends attempts to backend servers, messages to other
+/// processes, and the answers. Everything but the HTTP server itself runs on one strand.
 class routing_frontend
 {
   public:
-    /// Sends to another process, by name.
+    /// Sends a message to the process with the given name.
     using sender = std::function<void(const std::string&, const link_message&)>;
 
-    /// Told with each update which other entries own shards that callers ask for; called on any thread.
+    /// Receives, with each update, the other entries that own shards requested by callers. Called on the
+    /// strand of the frontend.
     using owners_handler = std::function<void(std::set<instance_name>)>;
 
-    /// Told what changed of requests that crash backend servers; called on the front's strand.
+    /// Receives changed crash records, which describe requests that crash backend servers. Called on the
+    /// strand of the frontend.
     using crash_records_handler = std::function<void(const crash_news&)>;
 
     routing_frontend(boost::asio::io_context& io, metrics& counted, const router_options& options,
@@ -43,50 +51,54 @@
 
     std::error_code listen(const address& at);
 
-    /// @brief Puts a configuration and the registered backend servers in force. Thread-safe; calls must not
-    /// overtake one another.
+    /// @brief Applies a configuration and the registered backend servers. Thread-safe, but calls must be made
+    /// one after the other, since the last call wins.
     void update(const routing_view& view, const request_limits& limits);
 
-    /// @brief Another entry asks, answers, or no longer waits. Thread-safe.
+    /// @brief Handles messages of other entries: a delegation of shards, the outcome of a delegation, or the
+    /// notice that an outcome is no longer awaited. Thread-safe.
     void on_delegation(const std::string& from, const std::shared_ptr<const routed_ask>& delegated);
     void on_delegation_outcome(const std::string& from, const std::shared_ptr<const routed_return>& returned);
     void on_delegation_abandoned(const std::string& from, const routed_abandon& abandoned);
 
-    /// @brief A control replica's word on limits; only that of the keeper counts. Thread-safe.
+    /// @brief Handles a message on team limits from a control replica. Ignored unless the sender is the
+    /// current rate limit coordinator. Thread-safe.
     void on_limit_word(const std::string& from, const std::shared_ptr<const limit_word>& word);
 
-    /// @brief What a control replica knows of requests that crash backend servers. Thread-safe.
+    /// @brief Handles crash records from a control replica. Thread-safe.
     void on_crash_news(const std::string& from, const std::shared_ptr<const crash_news>& news);
 
-    /// @brief Tells the control replicas all that is known of such requests. Thread-safe.
+    /// @brief Reports all known crash records to the control replicas. Thread-safe.
     void report_all_crash_records();
 
-    /// @brief The control replica that keeps the limits of teams. Thread-safe.
-    /// @param heard whether it was heard of just now
+    /// @brief Sets the rate limit coordinator: the control replica that holds the account of the team limits.
+    /// Thread-safe.
+    /// @param name name of the replica; empty if none is known
+    /// @param contacted_now whether a message of this replica was received just now
     void set_rate_limit_coordinator(std::string name, bool contacted_now);
 
-    /// @brief The link to another entry broke. Thread-safe.
+    /// @brief Handles the loss of the link to another entry. Thread-safe.
     void on_entry_unreachable(const std::string& name);
 
-    /// @brief From now on requests are taken; before, all are refused as not run.
+    /// @brief Starts to accept requests. Before this call, all requests are refused as not run.
     void open();
 
-    /// @brief Serves on, but no connection is kept.
+    /// @brief Closes each connection of a caller after its next reply. Requests are still accepted.
     void close_after_reply();
 
-    /// @brief Takes no more requests; those that were read are answered.
+    /// @brief Accepts no more requests. Requests that were already read are answered.
     void drain();
 
-    /// @brief Gives every open request its final answer, before this process ends.
+    /// @brief Answers every open request at once, before the process ends.
     void answer_all();
 
-    /// @brief Does what is due, whatever the timers say. Thread-safe.
+    /// @brief Handles all expired deadlines at once, without waiting for the timer. Thread-safe.
     void handle_due_timers();
 
-    /// @return requests that aren't replied to yet
+    /// @return the number of requests that aren't replied to yet
     std::size_t in_flight() const noexcept;
 
-    /// @brief Calls @a done with the state of the decisions, on their strand.
+    /// @brief Calls @a done with a dump of the state of admission and router, on the strand of the frontend.
     void dump(std::function<void(nlohmann::json)> done);
 
   private:
@@ -94,10 +106,10 @@
     {
         std::function<void(const routed_outcome&)> respond;
         std::string id;
-        /// Set once it is admitted.
+        /// The team of the caller; empty until the request is admitted.
         std::string team{};
         time_point arrived;
-        /// The entry that asks on its caller's behalf; empty for a caller of this one's own.
+        /// The entry that delegated the request; empty if the request arrived from a caller directly.
         std::string delegated_by;
         ask_number delegation = 0;
     };
@@ -107,7 +119,7 @@
         std::string address;
         int connections = 0;
         std::int64_t born_ms = 0;
-        /// Shards of services that name the backend server.
+        /// Number of shards, over all services, that are placed on the backend server.
         int uses = 0;
     };
 
@@ -156,18 +168,18 @@
     const crash_records_handler m_report_crash_records;
     std::atomic<bool> m_open{false};
     std::atomic<request_number> m_next_request{1};
-    // On the strand only.
+    // The members below are used on the strand only.
     caller_admission m_admission;
     router m_router;
-    /// The control replica that keeps the limits; empty while none is known.
+    /// The control replica that holds the account of the team limits; empty if none is known.
     std::string m_rate_limit_coordinator;
     pools_by_server<connection_pool> m_pools;
-    /// The services whose pools are configured.
+    /// The services whose connection pools are configured.
     std::map<service_name, pooled_service> m_services_with_pools;
-    /// What the pools were last told, by backend server.
+    /// The last settings of each connection pool, by backend server.
     std::unordered_map<backend_server_name, pool_state> m_servers;
     std::unordered_map<request_number, caller> m_callers;
-    /// Requests that other entries asked for, by their name and number.
+    /// Requests that other entries delegated, by the entry's name and its number for the delegation.
     std::map<std::pair<std::string, ask_number>, request_number> m_delegations;
     std::unordered_map<routed_attempt_number, std::shared_ptr<connection_pool>> m_attempts;
     http_server m_server;
--- a/src/shell/routing_frontend_actions.cpp
+++ b/src/shell/routing_frontend_actions.cpp
@@ -1,4 +1,4 @@
-// Carries out what the router decides.
+// The part of routing_frontend that executes the actions of admission and router.
 
 #include "routing_frontend.hpp"
 
@@ -99,7 +99,7 @@
     return metrics::counter::answers_unknown;
 }
 
-/// The first few of @a names, so that a line stays short.
+/// @return the first few of @a names, separated by commas; limited to keep log lines short
 template <typename Name>
 std::string joined(const std::vector<Name>& names)
 {
@@ -196,7 +196,8 @@
     const auto pool = m_pools.find(action.server);
     if (!pool)
     {
-        // Its pool went with an earlier change of the backend servers; the end comes as any other.
+        // The pool was removed by an earlier change of the backend servers. The end of the attempt is
+        // reported asynchronously, like any other.
         net::post(m_strand,
                   [this, action, now]
                   {
@@ -208,7 +209,7 @@
     pool->send(m_codec.write_attempt(action, action.deadline - now),
                [this, action, now](http_exchange_result reply)
                {
-                   // The pools live on this strand.
+                   // The pools run on this strand, so no switch is needed.
                    on_reply(action, now, std::move(reply));
                });
 }
@@ -338,7 +339,7 @@
     const time_point next = std::min(m_router.next_time(), m_admission.next_time());
     if (next >= m_timer_expiry && m_timer_expiry > m_clock.now())
     {
-        // It is set for an earlier moment already, and is set anew then.
+        // The timer expires earlier already, and is set again when it expires.
         return;
     }
     m_timer_expiry = next;
--- a/src/shell/routing_frontend_entries.cpp
+++ b/src/shell/routing_frontend_entries.cpp
@@ -1,4 +1,4 @@
-// What entries ask of one another.
+// The part of routing_frontend that exchanges messages with other entries and with control replicas.
 
 #include "routing_frontend.hpp"
 
@@ -83,7 +83,7 @@
                   {
                       if (from != m_rate_limit_coordinator)
                       {
-                          // A replica that was frozen may not know yet that another one leads.
+                          // A replica that was suspended may not know yet that another replica is the leader.
                           log(log_level::info, "limit_word_ignored",
                               {{"from", from}, {"keeper", m_rate_limit_coordinator}});
                           return;
--- a/src/shell/service_runner.cpp
+++ b/src/shell/service_runner.cpp
@@ -16,12 +16,13 @@
 namespace
 {
 
-/// How long the register is asked to record an outcome; the caller is answered sooner if need be.
+/// How long the register client tries to record the outcome of a query. The caller may be answered before.
 constexpr duration finish_timeout = duration::from_ms(10000);
 
 std::uint64_t first_serial_of(const service_runner_context& context)
 {
-    // Numbers of an earlier run of this instance must not come again; 40 bits leave room for the parts.
+    // Serial numbers of a previous run of this instance must not be used again, so they start at a random
+    // number. Its 40 bits leave room for the part number that is appended to each serial number.
     constexpr std::uint64_t low_40_bits = (std::uint64_t{1} << 40U) - 1;
     return context.run & low_40_bits;
 }
--- a/src/shell/service_runner.hpp
+++ b/src/shell/service_runner.hpp
@@ -20,7 +20,7 @@
 namespace flaxtiller::shell
 {
 
-/// @brief What all lanes of an entry share.
+/// @brief The components and settings that all service runners of an entry share.
 struct service_runner_context
 {
     boost::asio::io_context& io;
@@ -30,14 +30,17 @@
     metrics& counted;
     trace_writer& trace;
     instance_name self;
-    /// Drawn at each start of the process.
+    /// Random number drawn at each start of the process; identifies the run of the process.
     std::uint64_t run = 0;
     service_coordinator::options options;
 };
 
-/// @brief Runs the decisions for one service on a strand of its own and carries out what they want.
+/// @brief Runs the @ref service_coordinator of one service, on a strand of its own.
 ///
-/// Lanes share no lock: a service that is flooded takes no other service's turn but its share of the threads.
+/// The coordinator makes all decisions on queries, without any input or output. The runner passes it the
+/// events: queries of callers, messages of other entries, results of attempts, replies of the register, and
+/// time. It then executes the actions that the coordinator returns. Runners share no lock, so an overloaded
+/// service delays other services only by the thread time that it uses.
 class service_runner : public std::enable_shared_from_this<service_runner>
 {
   public:
@@ -45,16 +48,17 @@
 
     service_runner(service_runner_context& context, service_name service);
 
-    /// @brief Asks a query; @a done is called once, on the lane's strand.
+    /// @brief Submits a query. Thread-safe.
+    /// @param done called once with the answer, on the strand of the runner
     void submit(query_request request, completion done);
 
-    /// @brief Takes in what happened elsewhere. Thread-safe.
+    /// @brief Passes an event to the coordinator. Thread-safe.
     void post(coordinator_event incoming_event);
 
-    /// @brief Calls @a done with a dump of the decisions' state, on the lane's strand.
+    /// @brief Calls @a done with a dump of the coordinator's state, on the strand of the runner. Thread-safe.
     void dump(std::function<void(nlohmann::json)> done);
 
-    /// @return queries not answered yet; a recent value
+    /// @return the number of queries that aren't answered yet, as of the last event. Thread-safe.
     std::size_t open_queries() const noexcept;
 
   private:
--- a/tests/src/unit-routed-http-codec.cpp
+++ b/tests/src/unit-routed-http-codec.cpp
@@ -31,22 +31,22 @@
 
 } // namespace
 
-TEST_CASE("header fields", "[http]")
+TEST_CASE("header fields are looked up, filtered and replaced by name", "[http]")
 {
     http_fields fields(
         {{"Host", "h"}, {"X-A", "1"}, {"x-a", "2"}, {"Connection", "keep-alive, X-Hop"}, {"X-Hop", "3"}});
-    SECTION("names have no case, and the first value counts")
+    SECTION("names are case-insensitive, and the first value is returned")
     {
         CHECK(fields.value("x-A") == "1");
         CHECK(fields.find("X-B") == nullptr);
     }
-    SECTION("what concerns one connection isn't passed on")
+    SECTION("headers that concern a single connection aren't forwarded")
     {
         fields.add("Transfer-Encoding", "chunked");
         fields.add("Keep-Alive", "timeout=5");
         CHECK(fields.end_to_end() == header_list{{"Host", "h"}, {"X-A", "1"}, {"x-a", "2"}});
     }
-    SECTION("set takes the place of all")
+    SECTION("set replaces all values of a name, and remove removes them")
     {
         fields.set("X-A", "4");
         CHECK(fields.value("X-A") == "4");
@@ -55,11 +55,11 @@
     }
 }
 
-TEST_CASE("a routed request on its way", "[http]")
+TEST_CASE("a routed request is forwarded to a backend server", "[http]")
 {
     const routed_http_codec codec{routed_header_names{}};
 
-    SECTION("goes on unchanged but for deadline and expected server")
+    SECTION("the request is unchanged except for deadline and expected server")
     {
         const auto read = codec.read_request(request_with({{"Host", "h"},
                                                            {"X-Request-Id", "r1"},
@@ -82,7 +82,7 @@
                                                   {"X-Deadline-Ms", "200"},
                                                   {"X-Expect-Server", "i-1"}});
     }
-    SECTION("without an id or with an unreadable deadline it is refused")
+    SECTION("a request without an id or with a malformed deadline is refused")
     {
         CHECK_FALSE(codec.read_request(request_with({{"Host", "h"}})));
         for (const char* deadline : {"", "-1", "soon", "1e99", "12x"})
@@ -93,7 +93,7 @@
     }
 }
 
-TEST_CASE("what a backend server's reply means", "[http]")
+TEST_CASE("the reply of a backend server determines the result of the attempt", "[http]")
 {
     const routed_http_codec codec{routed_header_names{}};
     const auto status_of = [&](int status, header_list headers, bool part = false)
@@ -101,21 +101,21 @@
         return codec.read_reply(reply_with(status, std::move(headers)), part).result.status;
     };
 
-    SECTION("a signed success is an answer, an unsigned one is nobody's word")
+    SECTION("a signed success is an answer, and an unsigned success is dropped")
     {
         CHECK(status_of(200, {{"X-Signature", "s"}}) == attempt_status::answered);
         const routed_reply unsigned_one = codec.read_reply(reply_with(200, {}), false);
         CHECK(unsigned_one.result.status == attempt_status::cut);
         CHECK_FALSE(unsigned_one.answer);
     }
-    SECTION("only a promise means not run")
+    SECTION("a request counts as not run only if the backend server confirms it")
     {
         CHECK(status_of(503, {{"X-Not-Run", "true"}}) == attempt_status::shed);
         CHECK(status_of(421, {}) == attempt_status::leaving);
         CHECK(status_of(503, {}) == attempt_status::cut);
         CHECK(status_of(429, {}, true) == attempt_status::cut);
     }
-    SECTION("a failure is kept to be passed on, but is no part")
+    SECTION("a failure is kept for the caller, but isn't a part of a merged answer")
     {
         const routed_reply failed = codec.read_reply(reply_with(500, {{"X-Signature", "s"}}), false);
         CHECK(failed.result.status == attempt_status::cut);
@@ -124,13 +124,13 @@
         CHECK(status_of(404, {}, true) == attempt_status::cut);
         CHECK(status_of(404, {}, false) == attempt_status::answered);
     }
-    SECTION("Retry-After is heeded")
+    SECTION("Retry-After is read as seconds")
     {
         const auto read =
             codec.read_reply(reply_with(503, {{"X-Not-Run", "1"}, {"Retry-After", "0.25"}}), false);
         CHECK(read.result.retry_after == duration::from_ms(250));
     }
-    SECTION("ends without a reply")
+    SECTION("each end without a reply maps to a result")
     {
         http_exchange_result none;
         for (const auto& [end, status] : {std::pair(exchange_end::unreachable, attempt_status::unreachable),
@@ -145,12 +145,12 @@
     }
 }
 
-TEST_CASE("the final answer over HTTP", "[http]")
+TEST_CASE("the final answer is written as an HTTP reply", "[http]")
 {
     const routed_http_codec codec{routed_header_names{}};
     routed_outcome outcome;
 
-    SECTION("merged")
+    SECTION("a merged answer lists the signatures and the number of missing parts")
     {
         outcome.end = routed_end::merged;
         outcome.merged = "records";
@@ -161,7 +161,7 @@
         CHECK(reply.headers.value("X-Part-Signatures") == "a, b");
         CHECK(reply.headers.value("X-Missing-Parts") == "1");
     }
-    SECTION("refused says when to come back; what may have run never says refused")
+    SECTION("a refusal has Retry-After, and a request that may have run isn't reported as refused")
     {
         outcome.end = routed_end::refused;
         outcome.retry_after = duration::from_ms(150);
