--- a/src/entry/entry_configuration.cpp
+++ b/src/entry/entry_configuration.cpp
@@ -213,7 +213,7 @@
 
 void entry_process::implementation::update_links()
 {
-    std::vector<named_address> peers = control.replicas();
+    std::vector<named_address> peers = control.addresses();
     for (const auto& [name, needed_at] : linked_entries)
     {
         const auto listed = listed_entries.find(name);
@@ -351,7 +351,7 @@
     const bool leader_waits =
         serves() && now - leader_reported_at < leader_report_interval - settings.report_every * 0.5;
     const registration_digest known{registered.digest()};
-    for (const named_address& replica : control.replicas())
+    for (const named_address& replica : control.addresses())
     {
         const bool follows = replica.name == followed;
         const bool leads = replica.name == leader;
--- a/src/entry/entry_links.cpp
+++ b/src/entry/entry_links.cpp
@@ -183,7 +183,7 @@
 
 void entry_process::implementation::on_control_replicas_changed()
 {
-    log(log_level::info, "control_replicas", {{"count", control.replicas().size()}});
+    log(log_level::info, "control_replicas", {{"count", control.addresses().size()}});
     update_links();
 }
 
@@ -327,7 +327,7 @@
         return;
     }
     std::vector<std::string> all;
-    for (const named_address& replica : control.replicas())
+    for (const named_address& replica : control.addresses())
     {
         all.push_back(replica.name);
     }
--- a/src/entry/known_control_replicas.hpp
+++ b/src/entry/known_control_replicas.hpp
@@ -46,8 +46,8 @@
         return m_reported.erase(from) > 0 && update();
     }
 
-    /// @return the known replicas, starting with the replicas from the settings
-    const std::vector<named_address>& replicas() const noexcept
+    /// @return the addresses of the known replicas, starting with the replicas from the settings
+    const std::vector<named_address>& addresses() const noexcept
     {
         return m_replicas;
     }
--- a/tests/src/unit-known-control-replicas.cpp
+++ b/tests/src/unit-known-control-replicas.cpp
@@ -25,7 +25,7 @@
 TEST_CASE("an entry merges the member lists of all reachable control replicas", "[entry]")
 {
     known_control_replicas known(seeds());
-    CHECK(known.replicas().size() == 3);
+    CHECK(known.addresses().size() == 3);
 
     SECTION("a member list adds replicas that the settings don't name")
     {
--- a/tests/src/unit-routed-http-codec.cpp
+++ b/tests/src/unit-routed-http-codec.cpp
@@ -150,7 +150,7 @@
     const routed_http_codec codec{routed_header_names{}};
     routed_outcome outcome;
 
-    SECTION("a merged answer lists the signatures and the number of missing parts")
+    SECTION("merged")
     {
         outcome.end = routed_end::merged;
         outcome.merged = "records";
