--- a/src/control/control_implementation.hpp
+++ b/src/control/control_implementation.hpp
@@ -2,11 +2,11 @@
 
 #include "control_process.hpp"
 
-#include "shell/crash_hub.hpp"
+#include "shell/crash_record_distributor.hpp"
 #include "shell/http_server.hpp"
 #include "shell/log.hpp"
 #include "shell/peer_links.hpp"
-#include "shell/registration_hub.hpp"
+#include "shell/registration_distributor.hpp"
 #include "shell/suspension_watch.hpp"
 #include "shell/system.hpp"
 
@@ -110,8 +110,8 @@
     catalog_machine catalog;
     register_machine registers;
     distribution::publisher publisher;
-    registration_hub hub;
-    crash_hub crashes;
+    registration_distributor hub;
+    crash_record_distributor crashes;
     rate_ledger limits;
     /// As what this replica last kept the limits of teams.
     struct limit_keeping
--- a/src/control/control_links.cpp
+++ b/src/control/control_links.cpp
@@ -84,7 +84,7 @@
     }
     else if (const auto* news = std::get_if<crash_news>(&message))
     {
-        crashes.on_news(from.name, *news, from.role == "control", now);
+        crashes.on_crash_update(from.name, *news, from.role == "control", now);
     }
     else
     {
--- a/src/entry/entry_configuration.cpp
+++ b/src/entry/entry_configuration.cpp
@@ -216,8 +216,9 @@
     std::vector<named_address> peers = control.addresses();
     for (const auto& [name, needed_at] : linked_entries)
     {
-        const auto listed = listed_entries.find(name);
-        const auto at = listed == listed_entries.end() ? std::nullopt : parse_address(listed->second.address);
+        const auto listed_entry = listed_entries.find(name);
+        const auto at =
+            listed_entry == listed_entries.end() ? std::nullopt : parse_address(listed_entry->second.address);
         if (at)
         {
             peers.push_back({name.str(), *at});
--- a/src/entry/entry_implementation.hpp
+++ b/src/entry/entry_implementation.hpp
@@ -103,12 +103,12 @@
                                                                    link_to_entries(owners);
                                                                });
                                                  },
-                                                 [this](const crash_news& news)
+                                                 [this](const crash_news& crash_update)
                                                  {
                                                      net::post(strand,
-                                                               [this, news]
+                                                               [this, crash_update]
                                                                {
-                                                                   report_crash_records(news);
+                                                                   report_crash_records(crash_update);
                                                                });
                                                  })),
           callers(io, limits_of(settings),
@@ -258,7 +258,7 @@
 
     /// Sends crash records to the control replica that this entry follows, or to all control replicas if that
     /// replica is unreachable.
-    void report_crash_records(const crash_news& news);
+    void report_crash_records(const crash_news& crash_update);
 
     /// Selects a few entries of each other region to link to. Each entry selects different ones, by a hash of
     /// both names, so that the number of links doesn't grow with the square of the number of instances.
--- a/src/entry/entry_links.cpp
+++ b/src/entry/entry_links.cpp
@@ -83,7 +83,7 @@
     }
     if (const auto* crashes = std::get_if<crash_news>(&*message))
     {
-        routed->on_crash_news(from.name, {message, crashes});
+        routed->on_crash_update(from.name, {message, crashes});
         return true;
     }
     if (const auto* limits = std::get_if<limit_word>(&*message))
@@ -318,12 +318,12 @@
     schedule_routing_update();
 }
 
-void entry_process::implementation::report_crash_records(const crash_news& news)
+void entry_process::implementation::report_crash_records(const crash_news& crash_update)
 {
     const std::string& followed = control_choice.followed();
     if (reachable.count(followed) > 0)
     {
-        links.send(followed, news);
+        links.send(followed, crash_update);
         return;
     }
     std::vector<std::string> all;
@@ -331,7 +331,7 @@
     {
         all.push_back(replica.name);
     }
-    links.send(all, news);
+    links.send(all, crash_update);
 }
 
 void entry_process::implementation::post_to_service(const service_name& service, coordinator_event event)
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -57,8 +57,7 @@
             }
             if (number == SIGHUP)
             {
-                log(log_level::info, "reload_ignored",
-                    {{"reason", "settings hold from start to stop"}});
+                log(log_level::info, "reload_ignored", {{"reason", "settings hold from start to stop"}});
                 on_signal();
                 return;
             }
--- a/src/shell/crash_file.cpp
+++ b/src/shell/crash_record_file.cpp
@@ -1,4 +1,4 @@
-#include "crash_file.hpp"
+#include "crash_record_file.hpp"
 
 #include "log.hpp"
 #include "replace_file.hpp"
@@ -19,24 +19,24 @@
 
 } // namespace
 
-crash_file::crash_file(std::string path) : m_path(std::move(path))
+crash_record_file::crash_record_file(std::string path) : m_path(std::move(path))
 {
 }
 
-crash_file::~crash_file()
+crash_record_file::~crash_record_file()
 {
     {
         const std::scoped_lock lock(m_mutex);
         m_stopping = true;
     }
-    m_more.notify_one();
+    m_work_available.notify_one();
     if (m_thread.joinable())
     {
         m_thread.join();
     }
 }
 
-std::vector<crash_record> crash_file::load(std::int64_t unix_ms)
+std::vector<crash_record> crash_record_file::load(std::int64_t unix_ms)
 {
     std::string bytes;
     if (m_files.read(m_path, bytes))
@@ -48,12 +48,12 @@
     {
         const auto saved = nlohmann::json::parse(bytes);
         // The time of day may have been set back meanwhile.
-        const std::int64_t since =
+        const std::int64_t elapsed_ms =
             std::max<std::int64_t>(0, unix_ms - saved.at(saved_at_key).get<std::int64_t>());
         auto records = saved.at(records_key).get<std::vector<crash_record>>();
         for (crash_record& item : records)
         {
-            item.age = item.age + duration::from_ms(static_cast<double>(since));
+            item.age = item.age + duration::from_ms(static_cast<double>(elapsed_ms));
         }
         return records;
     }
@@ -64,12 +64,12 @@
     }
 }
 
-void crash_file::save(const std::vector<crash_record>& records, std::int64_t unix_ms)
+void crash_record_file::save(const std::vector<crash_record>& records, std::int64_t unix_ms)
 {
-    const nlohmann::json all = {{saved_at_key, unix_ms}, {records_key, records}};
+    const nlohmann::json document = {{saved_at_key, unix_ms}, {records_key, records}};
     {
         const std::scoped_lock lock(m_mutex);
-        m_queued = all.dump();
+        m_queued = document.dump();
         if (!m_thread.joinable())
         {
             m_thread = std::thread(
@@ -79,29 +79,29 @@
                 });
         }
     }
-    m_more.notify_one();
+    m_work_available.notify_one();
 }
 
-void crash_file::flush()
+void crash_record_file::flush()
 {
     std::unique_lock lock(m_mutex);
-    m_written.wait(lock,
-                   [this]
-                   {
-                       return !m_queued && !m_writing;
-                   });
+    m_write_finished.wait(lock,
+                          [this]
+                          {
+                              return !m_queued && !m_writing;
+                          });
 }
 
-void crash_file::run()
+void crash_record_file::run()
 {
     std::unique_lock lock(m_mutex);
     while (true)
     {
-        m_more.wait(lock,
-                    [this]
-                    {
-                        return m_stopping || m_queued;
-                    });
+        m_work_available.wait(lock,
+                              [this]
+                              {
+                                  return m_stopping || m_queued;
+                              });
         if (!m_queued)
         {
             return;
@@ -116,7 +116,7 @@
         }
         lock.lock();
         m_writing = false;
-        m_written.notify_all();
+        m_write_finished.notify_all();
     }
 }
 
--- a/src/shell/crash_file.hpp
+++ b/src/shell/crash_record_file.hpp
@@ -20,13 +20,13 @@
 ///
 /// One JSON document, replaced whole. It is written and synced by a thread of its own, since a disk may hang
 /// for seconds; of several writes that wait, the last one counts. Thread-safe.
-class crash_file
+class crash_record_file
 {
   public:
-    explicit crash_file(std::string path);
-    ~crash_file();
-    crash_file(const crash_file&) = delete;
-    crash_file& operator=(const crash_file&) = delete;
+    explicit crash_record_file(std::string path);
+    ~crash_record_file();
+    crash_record_file(const crash_record_file&) = delete;
+    crash_record_file& operator=(const crash_record_file&) = delete;
 
     /// @return what was saved last, with the ages as of now; nothing where it can't be read
     std::vector<crash_record> load(std::int64_t unix_ms);
@@ -43,8 +43,8 @@
     const std::string m_path;
     quorum::posix_file_system m_files;
     std::mutex m_mutex;
-    std::condition_variable m_more;
-    std::condition_variable m_written;
+    std::condition_variable m_work_available;
+    std::condition_variable m_write_finished;
     std::optional<std::string> m_queued;
     bool m_writing = false;
     bool m_stopping = false;
--- a/src/shell/register_client.cpp
+++ b/src/shell/register_client.cpp
@@ -17,21 +17,21 @@
 {
 }
 
-void register_client::call(const register_command& command, duration bound, completion done)
+void register_client::call(const register_command& command, duration time_limit, completion done)
 {
     boost::asio::post(m_strand,
-                      [this, command, bound, done = std::move(done)]() mutable
+                      [this, command, time_limit, done = std::move(done)]() mutable
                       {
                           const time_point now = m_clock.now();
-                          const std::uint64_t number = m_next++;
-                          open_call fresh{command, std::move(done), now + bound, now, m_leader};
-                          auto& item = m_calls.emplace(number, std::move(fresh)).first->second;
+                          const std::uint64_t number = m_next_number++;
+                          pending_call added{command, std::move(done), now + time_limit, now, m_leader};
+                          auto& item = m_calls.emplace(number, std::move(added)).first->second;
                           send(number, item);
                           schedule_check();
                       });
 }
 
-void register_client::send(std::uint64_t number, open_call& item)
+void register_client::send(std::uint64_t number, pending_call& item)
 {
     item.sent_at = m_clock.now();
     m_links.send(m_replicas[item.replica], register_call{number, item.command});
@@ -66,12 +66,12 @@
         return;
     }
     m_checking = true;
-    m_timer.expires_after(std::chrono::microseconds(check_every.us()));
+    m_timer.expires_after(std::chrono::microseconds(check_interval.us()));
     m_timer.async_wait(
-        [this](const boost::system::error_code& stopped)
+        [this](const boost::system::error_code& error)
         {
             m_checking = false;
-            if (!stopped)
+            if (!error)
             {
                 check();
                 schedule_check();
@@ -84,18 +84,18 @@
     const time_point now = m_clock.now();
     for (auto item = m_calls.begin(); item != m_calls.end();)
     {
-        open_call& waiting = item->second;
-        if (now >= waiting.give_up_at)
+        pending_call& pending = item->second;
+        if (now >= pending.deadline)
         {
-            const completion done = std::move(waiting.done);
+            const completion done = std::move(pending.done);
             item = m_calls.erase(item);
             done(register_reply{});
             continue;
         }
-        if (now - waiting.sent_at >= next_replica_after)
+        if (now - pending.sent_at >= replica_timeout)
         {
-            waiting.replica = (waiting.replica + 1) % m_replicas.size();
-            send(item->first, waiting);
+            pending.replica = (pending.replica + 1) % m_replicas.size();
+            send(item->first, pending);
         }
         ++item;
     }
--- a/src/shell/register_client.hpp
+++ b/src/shell/register_client.hpp
@@ -27,26 +27,26 @@
     register_client(boost::asio::io_context& io, peer_links& links, std::vector<std::string> replicas);
 
     /// @brief Sends a command. @a done is called exactly once; with `unreachable` if nobody answered in time.
-    void call(const register_command& command, duration bound, completion done);
+    void call(const register_command& command, duration time_limit, completion done);
 
     /// @brief A control replica answered.
     void on_return(const std::string& from, const register_return& returned);
 
   private:
-    struct open_call
+    struct pending_call
     {
         register_command command;
         completion done;
-        time_point give_up_at;
+        time_point deadline;
         time_point sent_at;
         std::size_t replica = 0;
     };
 
     /// An unanswered command is sent to the next replica after this long.
-    static constexpr duration next_replica_after = duration::from_ms(150);
-    static constexpr duration check_every = duration::from_ms(25);
+    static constexpr duration replica_timeout = duration::from_ms(150);
+    static constexpr duration check_interval = duration::from_ms(25);
 
-    void send(std::uint64_t number, open_call& item);
+    void send(std::uint64_t number, pending_call& item);
     void check();
     void schedule_check();
 
@@ -56,9 +56,9 @@
     boost::asio::steady_timer m_timer;
     monotonic_clock m_clock;
     bool m_checking = false;
-    std::uint64_t m_next = 1;
+    std::uint64_t m_next_number = 1;
     std::size_t m_leader = 0;
-    std::map<std::uint64_t, open_call> m_calls;
+    std::map<std::uint64_t, pending_call> m_calls;
 };
 
 } // namespace flaxtiller::shell
--- /dev/null
+++ b/src/shell/registration_distributor.cpp
@@ -0,0 +1,207 @@
+#include "registration_distributor.hpp"
+
+#include "log.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace flaxtiller::shell
+{
+
+namespace
+{
+
+/// How often replicas tell one another whom they heard: well under the silence that loses a backend server.
+constexpr duration exchange_interval = duration::from_ms(3000);
+/// Replicas that start together are linked within this, also between regions; one that didn't restart has
+/// told what it knows by then.
+constexpr duration restore_delay = duration::from_ms(150);
+/// What was restored is called lost when it wasn't heard for this share of the silence that loses others:
+/// three heartbeats.
+constexpr double unconfirmed_silence_fraction = 0.3;
+/// Meanwhile replicas tell one another this often whom they heard.
+constexpr duration unconfirmed_exchange_interval = duration::from_ms(500);
+
+} // namespace
+
+void registration_distributor::load()
+{
+    m_saved = m_file.load();
+}
+
+void registration_distributor::restore(time_point now)
+{
+    const std::size_t count = m_registry.restore(std::exchange(m_saved, {}), now);
+    log(log_level::info, "registrations_restored", {{"items", count}});
+    m_exchange_at = now + unconfirmed_exchange_interval;
+    publish_changes(true, now);
+    m_publisher.hurry(now);
+    send_due(now);
+}
+
+/// A replica that didn't restart knows which of the restored ones still live.
+void registration_distributor::apply_settled_list(const registration_update& update, time_point now)
+{
+    m_saved.clear();
+    if (m_registry.drop_unconfirmed(update.items))
+    {
+        publish_changes(true, now);
+    }
+}
+
+void registration_distributor::on_heartbeat(const registration& received, time_point now)
+{
+    if (m_registry.on_heartbeat(received, now))
+    {
+        publish_changes(true, now);
+    }
+}
+
+void registration_distributor::on_leave(const backend_server_name& id, std::int64_t born_ms, time_point now)
+{
+    if (m_registry.on_leave(id, born_ms, now))
+    {
+        publish_changes(true, now);
+    }
+}
+
+void registration_distributor::on_update(const std::string& from, const registration_update& update,
+                                         time_point now)
+{
+    bool changed = false;
+    for (const registration& received : update.items)
+    {
+        changed = m_registry.merge(received, now) || changed;
+    }
+    if (update.settled)
+    {
+        apply_settled_list(update, now);
+    }
+    if (changed)
+    {
+        log(log_level::debug, "registrations_merged", {{"from", from}, {"items", update.items.size()}});
+        publish_changes(false, now);
+    }
+}
+
+void registration_distributor::on_heard(const registration_heard& receipts, time_point now)
+{
+    m_registry.on_heard(receipts.items, now);
+}
+
+bool registration_distributor::is_settled(time_point now) const
+{
+    return now - m_started_at > m_silence;
+}
+
+void registration_distributor::on_digest(const std::string& from, const registration_digest& received,
+                                         time_point now)
+{
+    if (m_publisher.on_digest(from, received.digest, m_registry.digest(), now))
+    {
+        log(log_level::info, "registrations_resent", {{"to", from}, {"items", m_registry.size()}});
+    }
+}
+
+void registration_distributor::on_reachable(const std::string& peer, time_point now)
+{
+    if (!m_registry.empty())
+    {
+        m_publisher.send_whole(peer);
+        send_due(now);
+    }
+}
+
+void registration_distributor::on_lost(const std::string& peer)
+{
+    m_publisher.on_lost(peer);
+}
+
+void registration_distributor::publish_changes(bool received_here, time_point now)
+{
+    const std::vector<registration> changes = m_registry.take_changes();
+    m_file.append(changes);
+    log_changes(changes, now);
+    m_publisher.on_changes(changes, received_here, m_registry.digest(), now);
+    send_due(now);
+}
+
+void registration_distributor::log_changes(const std::vector<registration>& changes, time_point now)
+{
+    for (const registration& item : changes)
+    {
+        if (!m_log_line_budget.take(now))
+        {
+            ++m_unlogged_changes;
+            continue;
+        }
+        log(log_level::info, "registration",
+            {{"backend_server", item.id.str()},
+             {"service", item.service.str()},
+             {"address", item.address},
+             {"state", nlohmann::json(item.state).get<std::string>()},
+             {"sequence", item.sequence},
+             {"born_ms", item.born_ms},
+             {"warmup_ms", item.warmup_left.ms()}});
+    }
+}
+
+void registration_distributor::send_due(time_point now)
+{
+    if (!m_publisher.is_due(now))
+    {
+        return;
+    }
+    for (registration_spread::outgoing& message :
+         m_publisher.take(m_links.reachable(), m_registry.size(), now))
+    {
+        const bool settled = message.whole && is_settled(now);
+        registration_update update{settled, std::move(message.changes), settled};
+        if (message.whole)
+        {
+            update.items = m_registry.all(now);
+        }
+        m_links.send(message.to, update);
+    }
+}
+
+void registration_distributor::set_replicas(std::set<std::string> others)
+{
+    m_publisher.set_replicas(std::move(others));
+}
+
+void registration_distributor::tick(bool leads, time_point now)
+{
+    if (!m_saved.empty() && now - m_started_at >= restore_delay)
+    {
+        restore(now);
+    }
+    if (m_registry.drop_unconfirmed(m_silence * unconfirmed_silence_fraction, now))
+    {
+        publish_changes(true, now);
+    }
+    send_due(now);
+    if (now < m_exchange_at)
+    {
+        return;
+    }
+    if (const std::size_t unlogged = std::exchange(m_unlogged_changes, 0); unlogged > 0)
+    {
+        log(log_level::info, "registrations", {{"items", unlogged}, {"known", m_registry.size()}});
+    }
+    m_exchange_at = now + (m_registry.has_unconfirmed() ? unconfirmed_exchange_interval : exchange_interval);
+    const registration_heard receipts{m_registry.take_heard()};
+    const registration_digest known{m_registry.digest()};
+    const std::vector<std::string> others(m_publisher.replicas().begin(), m_publisher.replicas().end());
+    m_links.send(others, known);
+    if (!receipts.items.empty())
+    {
+        m_links.send(others, receipts);
+    }
+    if (leads && is_settled(now) && m_registry.expire(m_silence, now))
+    {
+        publish_changes(true, now);
+    }
+}
+
+} // namespace flaxtiller::shell
--- a/src/shell/registration_file.cpp
+++ b/src/shell/registration_file.cpp
@@ -21,7 +21,7 @@
         const std::scoped_lock lock(m_mutex);
         m_stopping = true;
     }
-    m_more.notify_one();
+    m_work_available.notify_one();
     if (m_thread.joinable())
     {
         m_thread.join();
@@ -44,8 +44,8 @@
         const auto item = nlohmann::json::parse(line, nullptr, false);
         try
         {
-            auto said = item.get<registration>();
-            m_kept.insert_or_assign(said.id, said);
+            auto loaded = item.get<registration>();
+            m_valid.insert_or_assign(loaded.id, loaded);
         }
         catch (const nlohmann::json::exception&)
         {
@@ -57,11 +57,11 @@
         log(log_level::warning, "registrations_unreadable", {{"path", m_path}, {"lines", unreadable}});
     }
     // Written anew with the first change.
-    m_lines = most_lines;
+    m_lines = max_lines;
     std::vector<registration> items;
-    for (const auto& [id, said] : m_kept)
+    for (const auto& [id, loaded] : m_valid)
     {
-        items.push_back(said);
+        items.push_back(loaded);
     }
     return items;
 }
@@ -84,17 +84,17 @@
                 });
         }
     }
-    m_more.notify_one();
+    m_work_available.notify_one();
 }
 
 void registration_file::flush()
 {
     std::unique_lock lock(m_mutex);
-    m_written.wait(lock,
-                   [this]
-                   {
-                       return m_queued.empty() && !m_writing;
-                   });
+    m_write_finished.wait(lock,
+                          [this]
+                          {
+                              return m_queued.empty() && !m_writing;
+                          });
 }
 
 std::string registration_file::line_of(const registration& item)
@@ -107,11 +107,11 @@
     std::unique_lock lock(m_mutex);
     while (true)
     {
-        m_more.wait(lock,
-                    [this]
-                    {
-                        return m_stopping || !m_queued.empty();
-                    });
+        m_work_available.wait(lock,
+                              [this]
+                              {
+                                  return m_stopping || !m_queued.empty();
+                              });
         if (m_queued.empty())
         {
             return;
@@ -125,40 +125,40 @@
             lines += line_of(item);
             if (item.is_present())
             {
-                m_kept.insert_or_assign(item.id, item);
+                m_valid.insert_or_assign(item.id, item);
             }
             else
             {
-                m_kept.erase(item.id);
+                m_valid.erase(item.id);
             }
         }
         m_lines += changes.size();
-        const bool anew = m_lines > most_lines || m_failed;
-        if (anew)
+        const bool replace = m_lines > max_lines || m_failed;
+        if (replace)
         {
             lines.clear();
-            for (const auto& [id, item] : m_kept)
+            for (const auto& [id, item] : m_valid)
             {
                 lines += line_of(item);
             }
         }
-        const std::error_code failed = write(lines, anew);
+        const std::error_code failed = write(lines, replace);
         if (failed && !m_failed)
         {
             log(log_level::warning, "registrations_not_written",
                 {{"path", m_path}, {"error", failed.message()}});
         }
         m_failed = failed;
-        m_lines = anew && !failed ? m_kept.size() : m_lines;
+        m_lines = replace && !failed ? m_valid.size() : m_lines;
         lock.lock();
         m_writing = false;
-        m_written.notify_all();
+        m_write_finished.notify_all();
     }
 }
 
-std::error_code registration_file::write(const std::string& lines, bool anew)
+std::error_code registration_file::write(const std::string& lines, bool replace)
 {
-    if (anew)
+    if (replace)
     {
         return replace_file(m_files, m_path, lines);
     }
--- a/src/shell/registration_file.hpp
+++ b/src/shell/registration_file.hpp
@@ -38,22 +38,22 @@
 
   private:
     /// Lines beyond this many are replaced by those that still count: some hundred bytes each.
-    static constexpr std::size_t most_lines = 20000;
+    static constexpr std::size_t max_lines = 20000;
 
     void run();
-    std::error_code write(const std::string& lines, bool anew);
+    std::error_code write(const std::string& lines, bool replace);
     static std::string line_of(const registration& item);
 
     const std::string m_path;
     quorum::posix_file_system m_files;
     std::mutex m_mutex;
-    std::condition_variable m_more;
-    std::condition_variable m_written;
+    std::condition_variable m_work_available;
+    std::condition_variable m_write_finished;
     std::vector<registration> m_queued;
     bool m_writing = false;
     bool m_stopping = false;
     // The thread's own.
-    std::map<backend_server_name, registration> m_kept;
+    std::map<backend_server_name, registration> m_valid;
     std::size_t m_lines = 0;
     std::error_code m_failed;
     std::thread m_thread;
--- a/src/shell/routing_frontend.hpp
+++ b/src/shell/routing_frontend.hpp
@@ -66,7 +66,7 @@
     void on_limit_word(const std::string& from, const std::shared_ptr<const limit_word>& word);
 
     /// @brief Handles crash records from a control replica. Thread-safe.
-    void on_crash_news(const std::string& from, const std::shared_ptr<const crash_news>& news);
+    void on_crash_update(const std::string& from, const std::shared_ptr<const crash_news>& crash_update);
 
     /// @brief Reports all known crash records to the control replicas. Thread-safe.
     void report_all_crash_records();
--- a/src/shell/routing_frontend_entries.cpp
+++ b/src/shell/routing_frontend_entries.cpp
@@ -93,15 +93,17 @@
                   });
 }
 
-void routing_frontend::on_crash_news(const std::string& from, const std::shared_ptr<const crash_news>& news)
+void routing_frontend::on_crash_update(const std::string& from,
+                                       const std::shared_ptr<const crash_news>& crash_update)
 {
-    net::dispatch(m_strand,
-                  [this, from, news]
-                  {
-                      log(log_level::debug, "crash_news", {{"from", from}, {"items", news->items.size()}});
-                      m_router.on_crash_records(news->items, m_clock.now());
-                      execute_actions();
-                  });
+    net::dispatch(
+        m_strand,
+        [this, from, crash_update]
+        {
+            log(log_level::debug, "crash_news", {{"from", from}, {"items", crash_update->items.size()}});
+            m_router.on_crash_records(crash_update->items, m_clock.now());
+            execute_actions();
+        });
 }
 
 void routing_frontend::report_all_crash_records()
--- a/tests/src/unit-quarantine.cpp
+++ b/tests/src/unit-quarantine.cpp
@@ -3,7 +3,7 @@
 #include <flaxtiller/quarantine/crash_ledger.hpp>
 #include <flaxtiller/quarantine/request_fingerprint.hpp>
 
-#include "shell/crash_file.hpp"
+#include "shell/crash_record_file.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -441,24 +441,24 @@
         crash_record record = quarantined_record(asked);
         record.age = duration::from_ms(5);
         {
-            shell::crash_file file(path);
+            shell::crash_record_file file(path);
             file.save({}, saved_at - 1);
             file.save({record}, saved_at);
             file.flush();
         }
         record.age = duration::from_ms(105);
-        CHECK(shell::crash_file(path).load(saved_at + 100) == std::vector{record});
+        CHECK(shell::crash_record_file(path).load(saved_at + 100) == std::vector{record});
         // The time of day was set back.
         record.age = duration::from_ms(5);
-        CHECK(shell::crash_file(path).load(saved_at - 100) == std::vector{record});
+        CHECK(shell::crash_record_file(path).load(saved_at - 100) == std::vector{record});
     }
     SECTION("and a file that is missing or damaged is none")
     {
-        CHECK(shell::crash_file(path).load(saved_at).empty());
+        CHECK(shell::crash_record_file(path).load(saved_at).empty());
         std::ofstream(path) << "{\"records\": 3";
-        CHECK(shell::crash_file(path).load(saved_at).empty());
+        CHECK(shell::crash_record_file(path).load(saved_at).empty());
         std::ofstream(path) << "[]";
-        CHECK(shell::crash_file(path).load(saved_at).empty());
+        CHECK(shell::crash_record_file(path).load(saved_at).empty());
     }
     std::filesystem::remove_all(folder);
 }
--- a/tests/src/unit-registration-file.cpp
+++ b/tests/src/unit-registration-file.cpp
@@ -13,28 +13,28 @@
 namespace
 {
 
-registration said_by(const std::string& id, registration_state state = registration_state::ready)
+registration registration_of(const std::string& id, registration_state state = registration_state::ready)
 {
-    registration said;
-    said.id = backend_server_name(id);
-    said.service = service_name("s");
-    said.address = "10.0.0.1:80";
-    said.state = state;
-    said.sequence = 3;
-    return said;
+    registration saved;
+    saved.id = backend_server_name(id);
+    saved.service = service_name("s");
+    saved.address = "10.0.0.1:80";
+    saved.state = state;
+    saved.sequence = 3;
+    return saved;
 }
 
 /// A folder of its own, removed at the end.
-struct scratch_folder
+struct temporary_folder
 {
-    scratch_folder()
+    temporary_folder()
         : path(std::filesystem::temp_directory_path() / ("registrations-" + std::to_string(::getpid())))
     {
         std::filesystem::create_directories(path);
     }
-    scratch_folder(const scratch_folder&) = delete;
-    scratch_folder& operator=(const scratch_folder&) = delete;
-    ~scratch_folder()
+    temporary_folder(const temporary_folder&) = delete;
+    temporary_folder& operator=(const temporary_folder&) = delete;
+    ~temporary_folder()
     {
         std::filesystem::remove_all(path);
     }
@@ -46,13 +46,14 @@
 
 TEST_CASE("registrations kept for the next start", "[registration]")
 {
-    const scratch_folder folder;
+    const temporary_folder folder;
     const std::string path = folder.path / "registrations";
     {
         registration_file file(path);
         REQUIRE(file.load().empty());
-        file.append({said_by("a"), said_by("b"), said_by("c")});
-        file.append({said_by("b", registration_state::draining), said_by("c", registration_state::gone)});
+        file.append({registration_of("a"), registration_of("b"), registration_of("c")});
+        file.append({registration_of("b", registration_state::draining),
+                     registration_of("c", registration_state::gone)});
         file.flush();
     }
 
@@ -66,8 +67,8 @@
                           return item.state == registration_state::gone;
                       });
         REQUIRE(items.size() == 2);
-        CHECK(items[0] == said_by("a"));
-        CHECK(items[1] == said_by("b", registration_state::draining));
+        CHECK(items[0] == registration_of("a"));
+        CHECK(items[1] == registration_of("b", registration_state::draining));
     }
 
     SECTION("a line that was cut off or damaged is passed over, and the file is written anew with the next "
@@ -76,7 +77,7 @@
         std::ofstream(path, std::ios::app) << "{\"id\": \"d\"}\n[1, 2\n{\"id\": \"e\", \"serv";
         registration_file file(path);
         CHECK(file.load().size() == 3);
-        file.append({said_by("f")});
+        file.append({registration_of("f")});
         file.flush();
         registration_file again(path);
         CHECK(again.load().size() == 4);
@@ -87,7 +88,7 @@
     {
         registration_file file(folder.path / "missing" / "registrations");
         CHECK(file.load().empty());
-        file.append({said_by("a")});
+        file.append({registration_of("a")});
         file.flush();
         CHECK(file.load().empty());
     }
