--- a/src/entry/entry_implementation.hpp
+++ b/src/entry/entry_implementation.hpp
@@ -130,7 +130,9 @@
     net::strand<net::io_context::executor_type> strand;
     net::steady_timer link_timer;
     net::steady_timer report_timer;
+    /// Expires when an entry that doesn't serve yet has lacked the current revision for too long.
     net::steady_timer catch_up_timer;
+    /// Expires when the selection of a control replica is to be repeated, after no replica was near enough.
     net::steady_timer follow_retry_timer;
     net::steady_timer pools_timer;
     net::steady_timer drain_timer;
@@ -151,6 +153,7 @@
     time_point drain_deadline{};
     /// When all requests still in flight are given their final answers.
     time_point final_answers_at{};
+    /// Whether the connections of callers are being closed.
     bool closing = false;
     /// Whether these final answers were sent.
     bool final_answers_sent = false;
@@ -180,7 +183,7 @@
     /// The teams of the active revision.
     std::shared_ptr<const team_table> teams = std::make_shared<const team_table>();
     bool routing_update_pending = false;
-    /// Number of registrations that changed since an update of the routing was last scheduled.
+    /// Number of changes of registrations since an update of the routing was last scheduled.
     std::size_t changes_since_update = 0;
     /// The evacuated availability zones of the active revision.
     std::set<std::string> evacuated_zones;
@@ -230,6 +233,8 @@
     /// @return whether the message was such a message
     bool on_routed(const hello& from, const std::shared_ptr<const link_message>& message);
 
+    /// Handles messages on the state of the cluster: configuration, registrations, control replicas and
+    /// entries.
     void on_cluster_message(const hello& from, const link_message& message);
 
     void on_registrations(const hello& from, const registration_update& update);
@@ -312,8 +317,8 @@
 
     // ------------------------------------------------------------------ start, stop and timers
 
-    /// After a suspension of the process, handles all expired deadlines at once, since the timers may fire
-    /// late.
+    /// After a suspension of the instance, handles all expired deadlines at once. Timers don't count the time
+    /// of the suspension, so they would fire late.
     void check_suspension();
 
     /// @brief Calls @a work once after @a pause, unless the timer is cancelled or set again before that.
--- a/src/shell/crash_record_distributor.cpp
+++ b/src/shell/crash_record_distributor.cpp
@@ -12,16 +12,18 @@
 namespace
 {
 
-/// Crashes under one request come within this, and share a message.
+/// Changes are sent after this delay, so that crashes under the same request share a message.
 constexpr duration send_delay = duration::from_ms(10);
-/// Links may lose what was sent on them; so entries are told again this often, for a while. Whoever wasn't
-/// reached for longer is told all when its link comes up.
+/// A message is lost if its link breaks, so recent records are sent to entries again at this interval, until
+/// they reach this age. An entry that is unreachable for longer gets all records when its link is
+/// established.
 constexpr duration resend_interval = duration::from_ms(1500);
 constexpr duration max_resend_age = duration::from_ms(15000);
 constexpr std::size_t max_resent_records = 64;
-/// Many crashes at once share a write.
+/// The minimum time between two writes, so that many crashes at once share a write.
 constexpr duration min_save_interval = duration::from_ms(100);
-/// Entries act on no fewer crashes, but for their own.
+/// Records with fewer crashes aren't sent to entries. An entry acts on a single crash only if it saw the
+/// crash itself.
 constexpr std::size_t min_crashes_for_entries = 2;
 
 std::vector<crash_record> select_for_entries(std::vector<crash_record> records)
@@ -34,7 +36,7 @@
     return records;
 }
 
-/// Those that changed lately, the newest where these are many.
+/// @return the records that changed recently, at most @ref max_resent_records, the newest first
 std::vector<crash_record> select_for_resend(std::vector<crash_record> records)
 {
     std::erase_if(records,
--- a/src/shell/crash_record_file.cpp
+++ b/src/shell/crash_record_file.cpp
@@ -41,13 +41,13 @@
     std::string bytes;
     if (m_files.read(m_path, bytes))
     {
-        // None was ever saved.
+        // No record was saved before.
         return {};
     }
     try
     {
         const auto saved = nlohmann::json::parse(bytes);
-        // The time of day may have been set back meanwhile.
+        // The time of day may have been set back since the save.
         const std::int64_t elapsed_ms =
             std::max<std::int64_t>(0, unix_ms - saved.at(saved_at_key).get<std::int64_t>());
         auto records = saved.at(records_key).get<std::vector<crash_record>>();
--- a/src/shell/crash_record_file.hpp
+++ b/src/shell/crash_record_file.hpp
@@ -15,11 +15,13 @@
 namespace flaxtiller::shell
 {
 
-/// @brief What a control process knew of requests that crash backend servers, kept for its next start: after
-/// a loss of all power no other process knows.
+/// @brief The file in which a control process keeps its crash records over a restart.
 ///
-/// One JSON document, replaced whole. It is written and synced by a thread of its own, since a disk may hang
-/// for seconds; of several writes that wait, the last one counts. Thread-safe.
+/// A crash record describes a request that crashes backend servers. Control replicas and entries exchange
+/// these records, but if all processes lose power at the same time, this file is the only copy.
+///
+/// The file is one JSON document, which is replaced atomically. A separate thread writes and syncs it, since
+/// a disk may hang for seconds. If several writes are queued, only the last one is made. Thread-safe.
 class crash_record_file
 {
   public:
@@ -28,13 +30,16 @@
     crash_record_file(const crash_record_file&) = delete;
     crash_record_file& operator=(const crash_record_file&) = delete;
 
-    /// @return what was saved last, with the ages as of now; nothing where it can't be read
+    /// @param unix_ms the current time of day; the ages of the records are increased by the time since the
+    /// save
+    /// @return the records that were saved last; empty if the file is missing or malformed
     std::vector<crash_record> load(std::int64_t unix_ms);
 
-    /// @brief Queues all that is known to be written.
+    /// @brief Queues records to be written in place of all saved ones. Doesn't wait for the disk.
+    /// @param unix_ms the current time of day
     void save(const std::vector<crash_record>& records, std::int64_t unix_ms);
 
-    /// @brief Waits until what was queued is written, or has failed.
+    /// @brief Waits until the queued write has succeeded or failed.
     void flush();
 
   private:
--- a/src/shell/register_client.cpp
+++ b/src/shell/register_client.cpp
@@ -49,7 +49,8 @@
                           }
                           if (!returned.leads)
                           {
-                              // Left to the next check, so that a register without a leader isn't stormed.
+                              // The next check sends the command to another replica. Sending at once would
+                              // flood the replicas while the register has no leader.
                               return;
                           }
                           m_leader = found->second.replica;
--- a/src/shell/register_client.hpp
+++ b/src/shell/register_client.hpp
@@ -18,7 +18,12 @@
 namespace flaxtiller::shell
 {
 
-/// @brief Asks the register's leader, whichever control replica that is, and asks again until its bound.
+/// @brief Sends the commands of an entry to the register, and receives the replies.
+///
+/// The register is the replicated store that records which queries have begun and finished, so that a query
+/// that isn't repeatable runs at most once. Only the control replica that leads the register answers. The
+/// client sends a command to the last known leader, and to the next replica whenever no answer arrives in
+/// time, until the time limit of the command. Thread-safe.
 class register_client
 {
   public:
@@ -26,10 +31,14 @@
 
     register_client(boost::asio::io_context& io, peer_links& links, std::vector<std::string> replicas);
 
-    /// @brief Sends a command. @a done is called exactly once; with `unreachable` if nobody answered in time.
+    /// @brief Sends a command.
+    /// @param time_limit how long to try
+    /// @param done called exactly once, on the strand of the client; with the status `unreachable` if no
+    /// replica answered within @a time_limit
     void call(const register_command& command, duration time_limit, completion done);
 
-    /// @brief A control replica answered.
+    /// @brief Handles the answer of a control replica.
+    /// @param from name of the replica
     void on_return(const std::string& from, const register_return& returned);
 
   private:
@@ -42,7 +51,7 @@
         std::size_t replica = 0;
     };
 
-    /// An unanswered command is sent to the next replica after this long.
+    /// A command without an answer is sent to the next replica after this time.
     static constexpr duration replica_timeout = duration::from_ms(150);
     static constexpr duration check_interval = duration::from_ms(25);
 
--- a/src/shell/registration_distributor.cpp
+++ b/src/shell/registration_distributor.cpp
@@ -11,15 +11,18 @@
 namespace
 {
 
-/// How often replicas tell one another whom they heard: well under the silence that loses a backend server.
+/// The interval at which replicas exchange received heartbeats. It is well below the time without a heartbeat
+/// after which a backend server counts as lost.
 constexpr duration exchange_interval = duration::from_ms(3000);
-/// Replicas that start together are linked within this, also between regions; one that didn't restart has
-/// told what it knows by then.
+/// The delay between the start and the restoration of saved registrations. Replicas that start at the same
+/// time are linked within this time, also between regions, and a replica that didn't restart has sent its
+/// registrations.
 constexpr duration restore_delay = duration::from_ms(150);
-/// What was restored is called lost when it wasn't heard for this share of the silence that loses others:
-/// three heartbeats.
+/// A restored backend server is marked as lost if no heartbeat arrives within this fraction of the time that
+/// applies to other backend servers. The fraction amounts to three heartbeats.
 constexpr double unconfirmed_silence_fraction = 0.3;
-/// Meanwhile replicas tell one another this often whom they heard.
+/// The interval at which replicas exchange received heartbeats while restored backend servers are
+/// unconfirmed.
 constexpr duration unconfirmed_exchange_interval = duration::from_ms(500);
 
 } // namespace
@@ -39,7 +42,8 @@
     send_due(now);
 }
 
-/// A replica that didn't restart knows which of the restored ones still live.
+/// Handles the complete list of a replica that didn't restart: discards the saved registrations, and marks
+/// restored backend servers that are missing in the list as lost.
 void registration_distributor::apply_settled_list(const registration_update& update, time_point now)
 {
     m_saved.clear();
--- a/src/shell/registration_distributor.hpp
+++ b/src/shell/registration_distributor.hpp
@@ -13,46 +13,55 @@
 namespace flaxtiller::shell
 {
 
-/// @brief Keeps a control process's registry, and brings what changes to all processes that it has links to.
-/// Not thread-safe.
+/// @brief Maintains the registry of backend servers on a control replica and distributes its changes.
+///
+/// Backend servers register with any control replica by heartbeats. The distributor applies the heartbeats to
+/// the registry, sends changes to all linked processes, exchanges received heartbeats with the other control
+/// replicas, and reports a backend server as lost if no replica received its heartbeats. It also saves the
+/// registrations for the next start of the process. Not thread-safe.
 class registration_distributor
 {
   public:
-    /// @param path of the file that keeps the registrations for this process's next start
+    /// @param path the file that keeps the registrations for the next start of this process
+    /// @param silence time without a heartbeat after which a backend server counts as lost
     registration_distributor(peer_links& links, const std::string& path, duration silence, time_point now)
         : m_links(links), m_file(path), m_silence(silence), m_started_at(now),
           m_log_line_budget(max_log_lines_per_s, max_log_lines_per_s, max_log_lines_per_s, now)
     {
     }
 
-    /// @brief Reads what an earlier life of this process knew. It is taken in a moment later, unless a
-    /// replica that didn't restart knows better.
+    /// @brief Reads the registrations that a previous run of this process saved. They are restored a moment
+    /// later, unless a replica that didn't restart sends its registrations before.
     void load();
 
-    /// @brief A backend server's own word.
+    /// @brief Handles a heartbeat of a backend server, or its notice that it leaves, sent to this replica.
     void on_heartbeat(const registration& received, time_point now);
     void on_leave(const backend_server_name& id, std::int64_t born_ms, time_point now);
 
-    /// @brief Another process's word.
+    /// @brief Handles registrations, or heartbeats received elsewhere, that another control replica sent.
     void on_update(const std::string& from, const registration_update& update, time_point now);
     void on_heard(const registration_heard& receipts, time_point now);
 
-    /// @brief What another process knows; one that differs for a while is sent all.
+    /// @brief Handles the digest of another process's registrations. If it differs from the own digest for
+    /// some time, all registrations are sent to this process.
     void on_digest(const std::string& from, const registration_digest& received, time_point now);
 
-    /// @brief A link to another replica came up: its other end may know nothing.
+    /// @brief Sends all registrations to a replica whose link was established, since it may have none.
     void on_reachable(const std::string& peer, time_point now);
 
-    /// @brief The link to a peer broke.
+    /// @brief Handles the loss of the link to a peer.
     void on_lost(const std::string& peer);
 
-    /// @brief Tells what changed, tells the other replicas who was heard, and calls the silent lost.
-    /// @param leads whether this replica leads: only a leader, which a majority's words reach, calls one lost
+    /// @brief Sends changes, reports received heartbeats to the other replicas, and marks backend servers
+    /// without heartbeats as lost.
+    /// @param leads whether this replica is the leader. Only a leader marks backend servers as lost, since it
+    /// receives the messages of a majority of the replicas.
     void tick(bool leads, time_point now);
 
-    /// @brief Tells which are the other control replicas.
+    /// @brief Sets the other control replicas.
     void set_replicas(std::set<std::string> others);
 
+    /// @return the registry of backend servers
     const registry& known() const noexcept
     {
         return m_registry;
@@ -61,6 +70,8 @@
   private:
     static constexpr double max_log_lines_per_s = 64.0;
 
+    /// @brief Saves, logs and sends the changes of the registry.
+    /// @param received_here whether the changes were caused on this replica, not by another replica's message
     void publish_changes(bool received_here, time_point now);
     void log_changes(const std::vector<registration>& changes, time_point now);
     void send_due(time_point now);
@@ -70,16 +81,16 @@
 
     peer_links& m_links;
     registration_file m_file;
-    /// What an earlier life knew, until it is taken in.
+    /// The registrations saved by a previous run, until they are restored or discarded.
     std::vector<registration> m_saved;
     duration m_silence;
     time_point m_started_at;
     registry m_registry;
     registration_spread m_publisher;
     time_point m_exchange_at{};
-    /// Pays for the lines on single registrations; many at once share one.
+    /// Limits the log lines for single registrations. Changes above the limit are counted and share one line.
     token_bucket m_log_line_budget;
-    /// Changes without a line since the last line on many.
+    /// Number of changes without a log line since the last shared line.
     std::size_t m_unlogged_changes = 0;
 };
 
--- a/src/shell/registration_file.cpp
+++ b/src/shell/registration_file.cpp
@@ -33,7 +33,7 @@
     std::string bytes;
     if (m_files.read(m_path, bytes))
     {
-        // The first start.
+        // At the first start there is no file.
         return {};
     }
     std::istringstream lines(bytes);
@@ -56,7 +56,7 @@
     {
         log(log_level::warning, "registrations_unreadable", {{"path", m_path}, {"lines", unreadable}});
     }
-    // Written anew with the first change.
+    // Makes the first append replace the file.
     m_lines = max_lines;
     std::vector<registration> items;
     for (const auto& [id, loaded] : m_valid)
--- a/src/shell/registration_file.hpp
+++ b/src/shell/registration_file.hpp
@@ -14,11 +14,15 @@
 namespace flaxtiller::shell
 {
 
-/// @brief What a control process knew of registered backend servers, kept for its next start, so that callers
-/// needn't wait for the next heartbeats. Only a hint: what is read may be old, and nothing waits for a write.
+/// @brief The file in which a control process keeps the registered backend servers over a restart.
 ///
-/// A file of lines, each a registration as JSON; the last line on an id counts, and one that was cut off is
-/// passed over. Lines are written and synced by a thread of its own, since a disk may hang for seconds.
+/// With the saved registrations, requests can be routed after a restart without waiting for the next
+/// heartbeats of the backend servers. The content is only a hint: it may be outdated, and no operation waits
+/// for a write.
+///
+/// Each line of the file is a registration as JSON. The last line for an id is the valid one, and a truncated
+/// or malformed line is skipped. A separate thread writes and syncs the lines, since a disk may hang for
+/// seconds.
 class registration_file
 {
   public:
@@ -27,17 +31,20 @@
     registration_file(const registration_file&) = delete;
     registration_file& operator=(const registration_file&) = delete;
 
-    /// @return what the last life of this process left, as far as it can be read
+    /// @brief Reads the registrations that a previous run of this process saved. Call before the first @ref
+    /// append.
+    /// @return the last registration of each backend server, without the lines that can't be read
     std::vector<registration> load();
 
-    /// @brief Queues changes to be written.
+    /// @brief Queues changed registrations to be appended to the file. Thread-safe.
     void append(const std::vector<registration>& changes);
 
-    /// @brief Waits until all that was queued is written, or has failed.
+    /// @brief Waits until all queued writes have succeeded or failed. Thread-safe.
     void flush();
 
   private:
-    /// Lines beyond this many are replaced by those that still count: some hundred bytes each.
+    /// A file with more lines is replaced by a file with the valid lines only. A line takes some hundred
+    /// bytes.
     static constexpr std::size_t max_lines = 20000;
 
     void run();
@@ -52,7 +59,7 @@
     std::vector<registration> m_queued;
     bool m_writing = false;
     bool m_stopping = false;
-    // The thread's own.
+    // The members below are used by the writing thread only, once it has started.
     std::map<backend_server_name, registration> m_valid;
     std::size_t m_lines = 0;
     std::error_code m_failed;
--- a/src/shell/routing_frontend.hpp
+++ b/src/shell/routing_frontend.hpp
@@ -102,6 +102,7 @@
     void dump(std::function<void(nlohmann::json)> done);
 
   private:
+    /// A request that isn't answered yet, and its origin.
     struct caller
     {
         std::function<void(const routed_outcome&)> respond;
@@ -114,6 +115,7 @@
         ask_number delegation = 0;
     };
 
+    /// The settings of the connection pool of a backend server.
     struct pool_state
     {
         std::string address;
@@ -123,6 +125,7 @@
         int uses = 0;
     };
 
+    /// A service as its pools were last configured, and the number of entries that share its backend servers.
     struct pooled_service
     {
         shared_value<placed_service> placed;
--- a/tests/src/unit-registration-file.cpp
+++ b/tests/src/unit-registration-file.cpp
@@ -24,7 +24,7 @@
     return saved;
 }
 
-/// A folder of its own, removed at the end.
+/// A temporary folder for one test, which the destructor removes.
 struct temporary_folder
 {
     temporary_folder()
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("registrations kept for the next start", "[registration]")
+TEST_CASE("the registration file keeps registrations for the next start", "[registration]")
 {
     const temporary_folder folder;
     const std::string path = folder.path / "registrations";
@@ -57,7 +57,7 @@
         file.flush();
     }
 
-    SECTION("the last word on each counts")
+    SECTION("the last line for each backend server is loaded")
     {
         registration_file file(path);
         auto items = file.load();
@@ -71,8 +71,7 @@
         CHECK(items[1] == registration_of("b", registration_state::draining));
     }
 
-    SECTION("a line that was cut off or damaged is passed over, and the file is written anew with the next "
-            "change")
+    SECTION("truncated and malformed lines are skipped, and the next change replaces the file")
     {
         std::ofstream(path, std::ios::app) << "{\"id\": \"d\"}\n[1, 2\n{\"id\": \"e\", \"serv";
         registration_file file(path);
@@ -84,7 +83,7 @@
         CHECK_FALSE(std::filesystem::exists(path + ".new"));
     }
 
-    SECTION("a folder that is gone is no error for those that wait")
+    SECTION("a missing folder is no error for load, append and flush")
     {
         registration_file file(folder.path / "missing" / "registrations");
         CHECK(file.load().empty());
