--- a/src/entry/entry_links.cpp
+++ b/src/entry/entry_links.cpp
@@ -33,9 +33,9 @@
 void entry_process::implementation::on_message(const std::shared_ptr<const hello>& from,
                                                const std::shared_ptr<const link_message>& message)
 {
-    if (const auto* asked = std::get_if<ask_message>(&*message))
+    if (const auto* delegated = std::get_if<ask_message>(&*message))
     {
-        post_to_service(asked->service, peer_asked{instance_name(from->name), asked->subqueries});
+        post_to_service(delegated->service, peer_asked{instance_name(from->name), delegated->subqueries});
     }
     else if (const auto* answered = std::get_if<answer_message>(&*message))
     {
@@ -66,9 +66,9 @@
     {
         return false;
     }
-    if (const auto* asked = std::get_if<routed_ask>(&*message))
+    if (const auto* delegated = std::get_if<routed_ask>(&*message))
     {
-        routed->on_delegation(from.name, {message, asked});
+        routed->on_delegation(from.name, {message, delegated});
         return true;
     }
     if (const auto* returned = std::get_if<routed_return>(&*message))
--- a/src/shell/routing_frontend.hpp
+++ b/src/shell/routing_frontend.hpp
@@ -63,7 +63,7 @@
 
     /// @brief Handles a message on team limits from a control replica. Ignored unless the sender is the
     /// current rate limit coordinator. Thread-safe.
-    void on_limit_word(const std::string& from, const std::shared_ptr<const limit_word>& word);
+    void on_limit_word(const std::string& from, const std::shared_ptr<const limit_word>& limit_message);
 
     /// @brief Handles crash records from a control replica. Thread-safe.
     void on_crash_update(const std::string& from, const std::shared_ptr<const crash_news>& crash_update);
--- a/src/shell/routing_frontend_entries.cpp
+++ b/src/shell/routing_frontend_entries.cpp
@@ -76,10 +76,11 @@
     execute_actions();
 }
 
-void routing_frontend::on_limit_word(const std::string& from, const std::shared_ptr<const limit_word>& word)
+void routing_frontend::on_limit_word(const std::string& from,
+                                     const std::shared_ptr<const limit_word>& limit_message)
 {
     net::dispatch(m_strand,
-                  [this, from, word]
+                  [this, from, limit_message]
                   {
                       if (from != m_rate_limit_coordinator)
                       {
@@ -88,7 +89,7 @@
                               {{"from", from}, {"keeper", m_rate_limit_coordinator}});
                           return;
                       }
-                      m_admission.on_limit_word(*word, m_clock.now());
+                      m_admission.on_limit_word(*limit_message, m_clock.now());
                       execute_actions();
                   });
 }
