--- a/src/shell/link_endpoint.cpp
+++ b/src/shell/link_endpoint.cpp
@@ -19,10 +19,11 @@
 using ws_client = websocketpp::client<websocketpp::config::asio_client>;
 using websocketpp::connection_hdl;
 
-/// Longer than peer_links waits for a dial: a busy peer that answers late is linked to all the same.
+/// Longer than the longest time that peer_links waits for a dial, so that a link to a busy peer that answers
+/// slowly is still established.
 constexpr long open_timeout_ms = 8000;
 constexpr long close_timeout_ms = 500;
-/// A link to a peer that takes nothing any more is closed once this much waits to be sent.
+/// A link is closed once this many bytes wait to be sent, which happens if the peer stopped reading.
 constexpr std::size_t most_buffered_bytes = std::size_t{64} << 20U;
 
 template <typename Endpoint>
@@ -65,7 +66,7 @@
     ws_client client;
     std::thread thread;
     std::atomic<link_id> next{1};
-    // Only touched by the thread.
+    // Accessed only by the endpoint's thread.
     std::map<link_id, link> links;
 
     template <typename Connection>
@@ -220,7 +221,7 @@
                 }
                 catch (const std::exception&)
                 {
-                    // A peer's malformed frame must not end the process; its link is closed by the library.
+                    // A malformed frame from a peer must not end the process; the library closes the link.
                 }
             }
         });
--- a/src/shell/link_endpoint.hpp
+++ b/src/shell/link_endpoint.hpp
@@ -8,46 +8,52 @@
 namespace flaxtiller::shell
 {
 
-/// @brief One process's end of the links between our processes: WebSocket connections, made or accepted.
+/// @brief The transport of the links between entry instances and control replicas: WebSocket connections that
+/// this process opens or accepts, each of which carries binary messages in both directions.
 ///
-/// Plain C++17 interface: websocketpp can't be compiled as C++20. Runs a thread of its own, from which all
-/// handlers are called. @ref send may be called from any thread.
+/// The interface is plain C++17, since websocketpp can't be compiled as C++20. The endpoint runs its own
+/// thread, which calls all handlers. @ref connect, @ref send and @ref close may be called from any thread.
 class link_endpoint
 {
   public:
+    /// Identifies a link within this endpoint; an identifier is never used again.
     using link_id = std::uint64_t;
 
-    /// @brief What the endpoint tells its owner.
+    /// @brief The functions by which the endpoint notifies its owner.
     struct handlers
     {
+        /// A link that was dialled or accepted is ready for messages.
         std::function<void(link_id)> opened;
+        /// A link was closed, or a dial failed.
         std::function<void(link_id)> closed;
+        /// A message arrived.
         std::function<void(link_id, std::string)> received;
     };
 
-    /// @param most_bytes larger messages close their link
+    /// @param told called on the endpoint's thread
+    /// @param most_bytes a larger message closes the link on which it arrives
     link_endpoint(handlers told, std::size_t most_bytes);
 
-    /// @brief Stops the thread and closes all links.
+    /// @brief Stops the thread and drops all links.
     ~link_endpoint();
 
     link_endpoint(const link_endpoint&) = delete;
     link_endpoint& operator=(const link_endpoint&) = delete;
 
     /// @brief Accepts links at this address.
-    /// @return false, with @a why set, if the address can't be used
+    /// @return false if the address can't be used; @a why then holds the reason
     bool listen(const std::string& ip, std::uint16_t port, std::string& why);
 
-    /// @brief Starts the thread.
+    /// @brief Starts the thread. Links are opened and accepted only afterwards.
     void start();
 
-    /// @brief Tries to make a link; `opened` or `closed` tells what became of it.
+    /// @brief Dials a peer. The endpoint calls `opened` if the dial succeeds and `closed` if it fails.
     link_id connect(const std::string& ip, std::uint16_t port);
 
-    /// @brief Sends a message; nothing happens if the link is gone.
+    /// @brief Sends a message; has no effect if the link is closed.
     void send(link_id link, std::shared_ptr<const std::string> bytes);
 
-    /// @brief Closes a link.
+    /// @brief Closes a link that is open; has no effect on a dial in progress.
     void close(link_id link);
 
   private:
--- a/src/shell/link_message.cpp
+++ b/src/shell/link_message.cpp
@@ -51,22 +51,25 @@
 namespace
 {
 
-/// Kinds on the wire are the positions in link_message; a new kind goes at the end.
+/// Key of the message's kind, which is the position of its type in link_message.
 constexpr const char* kind_key = "k";
+/// Key of the message itself.
 constexpr const char* value_key = "v";
-/// Messages from this size on are compressed: configurations and registrations repeat their keys. Of 65
-/// entries and their replicas in 70 s, revisions shrank from 131 to 9 MB and registrations from 70 to 18.
-/// What requests wait for is smaller.
+/// Messages of at least this size are compressed, since configurations and registrations repeat their keys.
+/// With 65 entry instances and their control replicas, over 70 s, compression reduced the revisions from 131
+/// MB to 9 MB and the registrations from 70 MB to 18 MB. Messages that requests wait for are smaller and
+/// stay uncompressed.
 constexpr std::size_t compressed_from = 4096;
 
+/// @brief Converts the value of a message, which is left in an unspecified state.
 template <typename Message>
 Message take_message(nlohmann::json& value)
 {
     return value.get<Message>();
 }
 
-/// A whole configuration's tree is moved out: a copy of it was 6% of what a starting entry of 225 services
-/// does.
+/// @brief Moves the JSON tree of a configuration out of the value. Copying the tree took 6% of the processor
+/// time of a starting entry instance with 225 services.
 template <>
 distribution::revision_update take_message(nlohmann::json& value)
 {
@@ -76,6 +79,7 @@
     return update;
 }
 
+/// @return the message of this kind, or nothing if there is no such kind
 template <std::size_t Index = 0>
 std::optional<link_message> decode_kind(std::size_t kind, nlohmann::json& value)
 {
--- a/src/shell/link_message.hpp
+++ b/src/shell/link_message.hpp
@@ -19,140 +19,151 @@
 namespace flaxtiller::shell
 {
 
-/// @brief The version of the protocol between our processes; a peer with another one is refused.
+/// @brief The version of the link protocol, which entry instances and control replicas speak to each other.
+/// A peer that announces a different version is refused.
 inline constexpr int link_protocol_version = 7;
 
-/// @brief The first message on each link, in both directions.
+/// @brief The handshake: the first message that each side sends on a link. It identifies the sender.
 struct hello
 {
     int protocol_version = link_protocol_version;
     std::string role;
     std::string name;
-    /// Drawn at each start of a process.
+    /// Identifies one run of the sending process, from its start to its end; drawn anew at each start.
     std::uint64_t run = 0;
     std::string region;
     std::string zone;
-    /// IP number and port at which it takes links.
+    /// IP address and port at which the sender accepts links.
     std::string address;
 };
 
-/// @brief A sign of life.
+/// @brief Shows that the sender is alive; sent on a link that carried no other message for a heartbeat
+/// interval.
 struct heartbeat
 {
 };
 
-/// @brief A message of one of the replicated logs.
+/// @brief A consensus message of one of the replicated logs.
 struct quorum_envelope
 {
+    /// The name of the log.
     std::string log;
     quorum::message message;
 };
 
-/// @brief Which incarnation of one of the replicated logs the sender holds; a wiped or new replica is known
-/// by it.
+/// @brief The incarnation of one of the replicated logs that the sender holds. The receiver recognises a new
+/// replica, or one whose storage was wiped, by its incarnation.
 struct incarnation_notice
 {
     std::string log;
     quorum::incarnation_id incarnation = 0;
 };
 
-/// @brief Subqueries that the receiver shall run.
+/// @brief Subqueries that the sender delegates to the receiver.
 struct ask_message
 {
     service_name service;
     std::vector<peer_subquery> subqueries;
 };
 
-/// @brief Results of subqueries that the receiver asked for.
+/// @brief Results of subqueries that the receiver of this message had delegated to the sender.
 struct answer_message
 {
     service_name service;
     std::vector<peer_result> results;
 };
 
-/// @brief Subqueries whose results the sender no longer awaits.
+/// @brief Withdraws delegated subqueries: the sender no longer waits for their results.
 struct abandon_message
 {
     service_name service;
     std::vector<std::uint64_t> numbers;
 };
 
-/// @brief A command for the register, from an entry to a control replica.
+/// @brief A command for the replicated register, sent by an entry instance to a control replica.
 struct register_call
 {
     std::uint64_t number = 0;
     register_command command;
 };
 
-/// @brief The register's answer; `leads` is false where the asked replica can't answer.
+/// @brief The reply to a @ref register_call.
 struct register_return
 {
     std::uint64_t number = 0;
+    /// False if the replica that received the call can't answer it; @ref reply is then without meaning.
     bool leads = false;
     register_reply reply;
 };
 
-/// @brief What changed among the backend servers that register themselves, or all that the sender knows.
+/// @brief Registrations of backend servers that register themselves: either those that changed, or the full
+/// list of those that the sender knows.
 struct registration_update
 {
-    /// Set where @ref items is all that the sender knows, and it has listened for long enough to know all.
+    /// True if @ref items is the full list, and the sender has received registrations for long enough to know
+    /// every backend server.
     bool whole = false;
     std::vector<registration> items;
-    /// Set where the sender has listened for long enough to know all, whether or not it tells all.
+    /// True if the sender has received registrations for long enough to know every backend server, whether or
+    /// not @ref items is the full list.
     bool settled = false;
 };
 
-/// @brief Backend servers whose own heartbeat the sender received lately.
+/// @brief Backend servers from which the sender recently received a heartbeat directly.
 struct registration_heard
 {
     std::vector<sign_of_life> items;
 };
 
-/// @brief The hash of the backend servers that the sender knows; where the receiver's differs for a while, it
-/// sends all.
+/// @brief The hash of the registrations that the sender knows. A receiver whose own hash stays different for
+/// a while sends its full list.
 struct registration_digest
 {
     std::uint64_t digest = 0;
 };
 
-/// @brief The control replicas, by their link addresses, as the sender's log has them.
+/// @brief The link addresses of the control replicas that are members of the sender's replicated log.
 struct control_members
 {
     std::vector<std::string> names;
 };
 
-/// @brief The entry instances that can be reached, from a control leader: all of them, or what changed since
-/// its last word to this receiver.
+/// @brief The reachable entry instances, sent by a control leader: either all of them, or the changes since
+/// the leader's previous list to this receiver.
 struct entry_list
 {
+    /// True if @ref items is the full list.
     bool whole = false;
     std::vector<entry_peer> items;
+    /// Instances that became unreachable since the previous list.
     std::vector<instance_name> gone;
 };
 
-/// @brief Shards of a fan-out that the receiver shall run, with the sender's number for it.
+/// @brief Delegates the shards of a fan-out to the receiver. The sender chooses the number, which identifies
+/// the delegation in later messages.
 struct routed_ask
 {
     ask_number number = 0;
     routed_request request;
 };
 
-/// @brief What came of that.
+/// @brief The outcome, or the progress, of the delegation that @ref routed_ask started.
 struct routed_return
 {
     ask_number number = 0;
     routed_outcome outcome;
 };
 
-/// @brief Nobody waits for that any more.
+/// @brief Ends the delegation that @ref routed_ask started: the sender no longer waits for its outcome.
 struct routed_abandon
 {
     ask_number number = 0;
-    /// Whether what runs is stopped, too.
+    /// True if attempts that are running are to be stopped as well.
     bool stops = false;
 };
 
-/// @brief An operator's change of one log's members, passed on to that log's leader.
+/// @brief An operator's request to change the members of a replicated log, forwarded to the leader of that
+/// log.
 struct member_request
 {
     std::string log;
@@ -161,12 +172,15 @@
     std::string name;
 };
 
-/// @brief Requests under which backend servers crashed: what changed, or all that the sender knows.
+/// @brief Records of requests during which backend servers crashed: either the changed records, or all
+/// records that the sender has.
 struct crash_news
 {
     std::vector<crash_record> items;
 };
 
+/// @brief Any message that a link carries. The position of a type is its number on the wire, so a new type
+/// goes at the end.
 using link_message =
     std::variant<hello, heartbeat, quorum_envelope, ask_message, answer_message, abandon_message,
                  register_call, register_return, distribution::revision_update, distribution::revision_report,
@@ -174,18 +188,19 @@
                  registration_heard, registration_digest, control_members, entry_list, routed_ask,
                  routed_return, routed_abandon, member_request, limit_report, limit_word, crash_news>;
 
+/// The number of kinds of messages; a kind is the position of a type in @ref link_message.
 inline constexpr std::size_t link_message_kinds = std::variant_size_v<link_message>;
 
 /// @return the name of a kind of message, by its position in @ref link_message
 const char* name_of_kind(std::size_t kind) noexcept;
 
-/// The largest message, before it is compressed.
+/// The size limit of a message before compression.
 inline constexpr std::size_t most_message_bytes = std::size_t{64} << 20U;
 
-/// @return the message as CBOR, compressed where it is large
+/// @return the message as CBOR, compressed if it is large
 std::string encode(const link_message& message);
 
-/// @return the message, or nothing if the bytes are malformed
+/// @return the decoded message, or nothing if the bytes are malformed
 std::optional<link_message> decode(const std::string& bytes);
 
 } // namespace flaxtiller::shell
--- a/src/shell/peer_links.cpp
+++ b/src/shell/peer_links.cpp
@@ -139,7 +139,7 @@
                 now - known.heard_at > m_timing.redial && now - known.dialled_at > m_timing.redial;
             if (known.dialled != 0 && (hangs || silent_for_long))
             {
-                // The connection may stand and yet carry nothing any more.
+                // The connection may be open although it no longer carries messages.
                 m_endpoint.close(known.dialled);
                 known.links.erase(known.dialled);
                 known.dialled = 0;
@@ -167,7 +167,6 @@
     post(id, encoded_message(link_message(m_self)));
 }
 
-/// @return whether the peer can't be reached any more by this
 bool peer_links::drop_link(const std::string& name, link_id id)
 {
     const auto found = m_peers.find(name);
@@ -192,7 +191,8 @@
 
 void peer_links::on_closed(link_id id)
 {
-    // Whom it was dialled to, and who answered: a seed may turn out to have another name.
+    // The name that was dialled and the name in the handshake differ if a seed address belongs to a peer of
+    // another name.
     std::set<std::string> names;
     std::vector<std::string> lost;
     {
--- a/src/shell/peer_links.hpp
+++ b/src/shell/peer_links.hpp
@@ -19,7 +19,7 @@
 namespace flaxtiller::shell
 {
 
-/// @brief A message as it is sent.
+/// @brief A message in its encoded form, which may be sent to several peers.
 struct encoded_message
 {
     explicit encoded_message(const link_message& message)
@@ -27,82 +27,97 @@
     {
     }
 
+    /// The position of the message's type in @ref link_message.
     std::size_t kind = 0;
     std::shared_ptr<const std::string> bytes;
 };
 
-/// @brief The links of this process to its peers, by name: makes them, keeps them up, tells which peers live.
+/// @brief The links of this process to its peers, which are entry instances and control replicas known by
+/// name. Opens the links, reopens those that failed, and detects which peers are reachable.
 ///
-/// A peer is reachable while something of it was heard within the silence bound: a frozen or cut-off peer
-/// stops being reachable although its connection still stands. Thread-safe; handlers run on the link thread
-/// or the thread that calls @ref tick.
+/// A peer is reachable while a message from it arrived within the silence limit. A peer that is frozen or cut
+/// off from the network thus becomes unreachable although its connection is still open. Thread-safe; the
+/// handlers are called on the thread of the link endpoint or on the thread that calls @ref tick.
 class peer_links
 {
   public:
+    /// @brief The functions by which the links notify their owner.
     struct handlers
     {
-        /// Shared, so that whoever handles it later copies neither: a whole configuration is a large tree.
+        /// A message other than a handshake or a heartbeat arrived. Both parameters are shared so that a
+        /// handler can keep them without a copy: a full configuration is a large JSON tree.
         std::function<void(const std::shared_ptr<const hello>& from,
                            const std::shared_ptr<const link_message>& message)>
             received;
+        /// A peer became reachable or unreachable.
         std::function<void(const std::string& name, bool reachable)> reachable;
     };
 
+    /// @param self the handshake that this process sends on each link
     peer_links(hello self, metrics& counted, link_timing timing, handlers told);
 
-    /// @brief Accepts links. @return false, with @a why set, if the address can't be used
+    /// @brief Accepts links at this address.
+    /// @return false if the address can't be used; @a why then holds the reason
     bool listen(const address& at, std::string& why);
 
     void start();
 
-    /// @brief Links to these peers are made and kept up; those to others that were wanted before are closed.
+    /// @brief Sets the peers to which this process dials and keeps a link. Links that this process dialled to
+    /// peers outside of this list are closed.
     void want(const std::vector<named_address>& peers);
 
-    /// @brief Sends to a peer; nothing happens if there is no link.
+    /// @brief Sends a message to a peer; has no effect if there is no link to the peer.
     void send(const std::string& name, const link_message& message);
 
-    /// @brief Sends the same to several peers; it is encoded once.
+    /// @brief Sends a message to several peers; the message is encoded once.
     void send(const std::vector<std::string>& names, const link_message& message);
 
-    /// @brief Makes missing links, sends heartbeats where nothing else was sent, notices silence. Call at
-    /// least twice a heartbeat.
+    /// @brief Dials peers without a link, sends heartbeats on links that carried no other message, and
+    /// detects peers that became unreachable. Must be called at least twice per heartbeat interval.
     void tick();
 
-    /// @return what a peer said of itself when its link was made, or nothing
+    /// @return the handshake that a peer sent on its newest link, or nothing if there is no link
     std::optional<hello> identity(const std::string& name) const;
 
-    /// @return names of the peers that can be reached
+    /// @return the names of the reachable peers
     std::set<std::string> reachable() const;
 
   private:
     using link_id = link_endpoint::link_id;
 
-    /// A peer that starts at the same moment listens within this; the pause doubles up to the longest one.
+    /// The wait between two dials starts with this, since a peer that starts at the same moment accepts links
+    /// within this time. It doubles with each failed dial up to the maximum.
     static constexpr duration first_dial_pause = duration::from_ms(20);
     static constexpr duration longest_dial_pause = duration::from_ms(200);
-    /// A dial on which nothing was heard for this long is tried anew: several round trips between regions and
-    /// a start on a busy instance. A machine without power says nothing, and the system itself tries again
-    /// only after a second.
+    /// A dial on which no message arrives for this long is given up and repeated. The time covers several
+    /// round trips between regions and the start of a process on a busy instance. An instance without power
+    /// doesn't refuse the connection, and the operating system repeats its own attempt only after a second.
     static constexpr duration first_dial_bound = duration::from_ms(300);
-    /// It doubles with each try up to this, so that a peer that is merely slow, perhaps since very many dial
-    /// it at once, is asked less and less, and reached in the end.
+    /// The time limit of a dial doubles with each dial that is given up, to this maximum. A peer that is only
+    /// slow, for example because many processes dial it at once, is thus dialled less and less often, and its
+    /// link is established in the end.
     static constexpr duration longest_dial_bound = duration::from_ms(6000);
 
-    /// What was sent so far is logged this often: a line in ten seconds is nothing beside the requests' own.
+    /// Interval between the log lines with the bytes sent so far. One line in ten seconds is negligible
+    /// beside the log lines of the requests.
     static constexpr duration log_sent_every = duration::from_ms(10000);
 
+    /// @brief What is known of a peer, and the state of the dials to it.
     struct peer
     {
         address at;
+        /// Whether this process dials the peer and keeps a link to it.
         bool wanted = false;
+        /// The link that this process dialled, open or not; 0 if there is none.
         link_id dialled = 0;
+        /// Earliest time of the next dial.
         time_point dial_at{};
         time_point dialled_at{};
-        /// How long to wait until the next try.
+        /// Wait until the next dial.
         duration dial_pause = first_dial_pause;
-        /// How long a dial may remain without a word.
+        /// Time within which a message from the peer must arrive after a dial.
         duration dial_bound = first_dial_bound;
-        /// Links on which the peer said its name; the newest is used.
+        /// Links on which the peer sent its handshake; messages are sent on the newest of them.
         std::set<link_id> links;
         time_point heard_at{};
         time_point sent_at{};
@@ -114,19 +129,23 @@
         }
     };
 
+    /// @brief A link that is open or being dialled.
     struct link
     {
-        /// Whom it was dialled to; empty for one that was accepted.
+        /// The name of the peer that was dialled; empty for an accepted link.
         std::string dialled;
-        /// Its greeting; nothing before that came.
+        /// The handshake of the peer; null until it arrives.
         std::shared_ptr<const hello> from;
     };
 
+    /// @brief Logs the bytes sent so far per kind of message, if the log interval has passed.
     void log_sent(time_point now);
     void on_opened(link_id id);
     void on_closed(link_id id);
     void on_received(link_id id, const std::string& bytes);
     void post(link_id id, const encoded_message& message);
+    /// @brief Removes a closed link from a peer. The caller holds the mutex.
+    /// @return true if the peer was reachable and has no link left
     bool drop_link(const std::string& name, link_id id);
 
     const hello m_self;
@@ -137,9 +156,9 @@
     mutable std::mutex m_mutex;
     std::map<std::string, peer> m_peers;
     std::map<link_id, link> m_links;
-    /// The thread that ticks only.
+    /// Time of the next log line with the bytes sent; accessed only by the thread that calls @ref tick.
     time_point m_log_sent_at{};
-    // Last, so that its thread ends before anything it uses is gone.
+    // The last member, so that its thread ends before the members that the thread uses are destroyed.
     link_endpoint m_endpoint;
 };
 
--- a/tests/src/unit-link-message.cpp
+++ b/tests/src/unit-link-message.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// @return the message as its receiver has it
+/// @return the message after it was encoded and decoded
 template <typename Message>
 Message received(const Message& sent)
 {
@@ -21,9 +21,9 @@
 
 } // namespace
 
-TEST_CASE("messages on routed requests arrive as they were sent", "[link]")
+TEST_CASE("messages of routed requests are unchanged by encoding and decoding", "[link]")
 {
-    SECTION("what is asked, with bytes that aren't text")
+    SECTION("a delegated request whose body is not valid UTF-8")
     {
         routed_ask asked;
         asked.number = 7;
@@ -44,7 +44,7 @@
         CHECK(got.number == 7);
         CHECK(got.request == asked.request);
     }
-    SECTION("what came of it")
+    SECTION("the outcome of a delegated request, with a result that is not valid UTF-8")
     {
         routed_return returned;
         returned.number = 7;
@@ -70,15 +70,15 @@
         CHECK(got.attempts == 4);
         CHECK(got.took == returned.outcome.took);
     }
-    SECTION("that nobody waits any more")
+    SECTION("the end of a delegation")
     {
         CHECK(received(routed_abandon{9}).number == 9);
     }
 }
 
-TEST_CASE("messages on surroundings arrive as they were sent", "[link]")
+TEST_CASE("messages of registrations and members are unchanged by encoding and decoding", "[link]")
 {
-    SECTION("backend servers")
+    SECTION("registrations of backend servers")
     {
         registration_update update;
         update.whole = true;
@@ -123,14 +123,14 @@
         sent.items.push_back(item);
     }
     const std::string bytes = encode(sent);
-    // 15 kB by this; 174 kB as plain CBOR.
+    // The compressed message has 15 kB; plain CBOR has 174 kB.
     CHECK(bytes.size() < 20000);
 
-    SECTION("and arrive as they were sent")
+    SECTION("a compressed message is unchanged by encoding and decoding")
     {
         CHECK(received(sent).items == sent.items);
     }
-    SECTION("cut off or bent, they are refused")
+    SECTION("a truncated, corrupted or extended message is refused")
     {
         for (const std::size_t kept : {std::size_t{1}, std::size_t{2}, bytes.size() / 2, bytes.size() - 1})
         {
@@ -141,7 +141,7 @@
         CHECK_FALSE(decode(bent));
         CHECK_FALSE(decode(bytes + "x"));
     }
-    SECTION("what would grow beyond the largest message is refused")
+    SECTION("decompression beyond the size limit is refused")
     {
         const std::string packed = compress(std::string(1000000, 'x'));
         CHECK(decompress(packed, 1000001));
@@ -151,7 +151,7 @@
     {
         CHECK_FALSE(decode(compress(bytes)));
     }
-    SECTION("small ones stay as they are")
+    SECTION("a small message is not compressed")
     {
         CHECK_FALSE(is_compressed(encode(heartbeat{})));
     }
