--- a/src/control/control_decisions.cpp
+++ b/src/control/control_decisions.cpp
@@ -105,7 +105,7 @@
             peers.push_back({name, *at});
         }
     }
-    links.want(peers);
+    links.set_peers(peers);
     const control_members told{{linked.begin(), linked.end()}};
     const std::set<std::string> reachable = links.reachable();
     links.send(std::vector<std::string>(reachable.begin(), reachable.end()), told);
--- a/src/control/control_process.cpp
+++ b/src/control/control_process.cpp
@@ -66,7 +66,7 @@
         fmt::print(stderr, "{}", found.to_text());
         return 1;
     }
-    self.links.want(self.settings.replicas);
+    self.links.set_peers(self.settings.replicas);
     self.links.start();
     self.on_signal();
     log(log_level::info, "started",
--- a/src/entry/entry_configuration.cpp
+++ b/src/entry/entry_configuration.cpp
@@ -228,7 +228,7 @@
             peers.push_back({name.str(), *at});
         }
     }
-    links.want(peers);
+    links.set_peers(peers);
 }
 
 void entry_process::implementation::configure_pools(const placement& placed, const placement* before)
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -190,7 +190,7 @@
 int entry_process::run()
 {
     implementation& self = *m_implementation;
-    self.links.want(self.settings.control);
+    self.links.set_peers(self.settings.control);
     self.links.start();
     self.repeat(
         self.link_timer,
--- a/src/shell/link_endpoint.cpp
+++ b/src/shell/link_endpoint.cpp
@@ -24,7 +24,7 @@
 constexpr long open_timeout_ms = 8000;
 constexpr long close_timeout_ms = 500;
 /// A link is closed once this many bytes wait to be sent, which happens if the peer stopped reading.
-constexpr std::size_t most_buffered_bytes = std::size_t{64} << 20U;
+constexpr std::size_t max_buffered_bytes = std::size_t{64} << 20U;
 
 template <typename Endpoint>
 void prepare(Endpoint& endpoint, boost::asio::io_service& io)
@@ -58,38 +58,38 @@
         bool outgoing = false;
     };
 
-    handlers told;
-    std::size_t most_bytes;
+    handlers callbacks;
+    std::size_t max_received_bytes;
     boost::asio::io_service io;
     std::unique_ptr<boost::asio::io_service::work> keep_running;
     ws_server server;
     ws_client client;
     std::thread thread;
-    std::atomic<link_id> next{1};
+    std::atomic<link_id> next_id{1};
     // Accessed only by the endpoint's thread.
     std::map<link_id, link> links;
 
     template <typename Connection>
     void attach(const Connection& connection, link_id id, bool outgoing)
     {
-        connection->set_max_message_size(most_bytes);
+        connection->set_max_message_size(max_received_bytes);
         connection->set_open_handler(
             [this, id, outgoing](connection_hdl handle)
             {
                 links[id] = link{handle, outgoing};
-                told.opened(id);
+                callbacks.opened(id);
             });
         const auto gone = [this, id](connection_hdl)
         {
             links.erase(id);
-            told.closed(id);
+            callbacks.closed(id);
         };
         connection->set_close_handler(gone);
         connection->set_fail_handler(gone);
         connection->set_message_handler(
             [this, id](connection_hdl, const auto& message)
             {
-                told.received(id, message->get_payload());
+                callbacks.received(id, message->get_payload());
             });
     }
 
@@ -102,7 +102,7 @@
         {
             return;
         }
-        if (connection->get_buffered_amount() > most_buffered_bytes)
+        if (connection->get_buffered_amount() > max_buffered_bytes)
         {
             connection->terminate(websocketpp::lib::error_code());
             return;
@@ -152,7 +152,7 @@
         const auto connection = client.get_connection(uri, failed);
         if (failed)
         {
-            told.closed(id);
+            callbacks.closed(id);
             return;
         }
         attach(connection, id, true);
@@ -160,12 +160,12 @@
     }
 };
 
-link_endpoint::link_endpoint(handlers told, std::size_t most_bytes)
+link_endpoint::link_endpoint(handlers callbacks, std::size_t max_received_bytes)
     : m_implementation(std::make_unique<implementation>())
 {
     implementation& self = *m_implementation;
-    self.told = std::move(told);
-    self.most_bytes = most_bytes;
+    self.callbacks = std::move(callbacks);
+    self.max_received_bytes = max_received_bytes;
     prepare(self.server, self.io);
     prepare(self.client, self.io);
     self.server.set_reuse_addr(true);
@@ -178,7 +178,7 @@
             {
                 return false;
             }
-            self.attach(connection, self.next++, false);
+            self.attach(connection, self.next_id++, false);
             return true;
         });
 }
@@ -230,7 +230,7 @@
 link_endpoint::link_id link_endpoint::connect(const std::string& ip, std::uint16_t port)
 {
     implementation& self = *m_implementation;
-    const link_id id = self.next++;
+    const link_id id = self.next_id++;
     const std::string uri = "ws://" + ip + ":" + std::to_string(port) + "/flaxtiller";
     boost::asio::post(self.io,
                       [&self, id, uri]
--- a/src/shell/link_endpoint.hpp
+++ b/src/shell/link_endpoint.hpp
@@ -30,9 +30,9 @@
         std::function<void(link_id, std::string)> received;
     };
 
-    /// @param told called on the endpoint's thread
-    /// @param most_bytes a larger message closes the link on which it arrives
-    link_endpoint(handlers told, std::size_t most_bytes);
+    /// @param callbacks called on the endpoint's thread
+    /// @param max_received_bytes a larger message closes the link on which it arrives
+    link_endpoint(handlers callbacks, std::size_t max_received_bytes);
 
     /// @brief Stops the thread and drops all links.
     ~link_endpoint();
--- a/src/shell/link_message.cpp
+++ b/src/shell/link_message.cpp
@@ -59,11 +59,11 @@
 /// With 65 entry instances and their control replicas, over 70 s, compression reduced the revisions from 131
 /// MB to 9 MB and the registrations from 70 MB to 18 MB. Messages that requests wait for are smaller and
 /// stay uncompressed.
-constexpr std::size_t compressed_from = 4096;
+constexpr std::size_t compression_threshold = 4096;
 
 /// @brief Converts the value of a message, which is left in an unspecified state.
 template <typename Message>
-Message take_message(nlohmann::json& value)
+Message convert_value(nlohmann::json& value)
 {
     return value.get<Message>();
 }
@@ -71,7 +71,7 @@
 /// @brief Moves the JSON tree of a configuration out of the value. Copying the tree took 6% of the processor
 /// time of a starting entry instance with 225 services.
 template <>
-distribution::revision_update take_message(nlohmann::json& value)
+distribution::revision_update convert_value(nlohmann::json& value)
 {
     nlohmann::json body = std::exchange(value.at("body"), nullptr);
     auto update = value.get<distribution::revision_update>();
@@ -87,7 +87,7 @@
     {
         if (kind == Index)
         {
-            return link_message(take_message<std::variant_alternative_t<Index, link_message>>(value));
+            return link_message(convert_value<std::variant_alternative_t<Index, link_message>>(value));
         }
         return decode_kind<Index + 1>(kind, value);
     }
@@ -138,14 +138,14 @@
         message);
     std::string bytes;
     nlohmann::json::to_cbor(j, bytes);
-    return bytes.size() < compressed_from ? bytes : compress(bytes);
+    return bytes.size() < compression_threshold ? bytes : compress(bytes);
 }
 
 std::optional<link_message> decode(const std::string& bytes)
 {
     if (is_compressed(bytes))
     {
-        const auto whole = decompress(bytes, most_message_bytes);
+        const auto whole = decompress(bytes, max_message_bytes);
         return whole && !is_compressed(*whole) ? decode(*whole) : std::nullopt;
     }
     try
--- a/src/shell/link_message.hpp
+++ b/src/shell/link_message.hpp
@@ -195,7 +195,7 @@
 const char* name_of_kind(std::size_t kind) noexcept;
 
 /// The size limit of a message before compression.
-inline constexpr std::size_t most_message_bytes = std::size_t{64} << 20U;
+inline constexpr std::size_t max_message_bytes = std::size_t{64} << 20U;
 
 /// @return the message as CBOR, compressed if it is large
 std::string encode(const link_message& message);
--- a/src/shell/peer_links.cpp
+++ b/src/shell/peer_links.cpp
@@ -9,8 +9,8 @@
 namespace flaxtiller::shell
 {
 
-peer_links::peer_links(hello self, metrics& counted, link_timing timing, handlers told)
-    : m_self(std::move(self)), m_metrics(counted), m_timing(timing), m_told(std::move(told)),
+peer_links::peer_links(hello self, metrics& link_metrics, link_timing timing, handlers callbacks)
+    : m_self(std::move(self)), m_metrics(link_metrics), m_timing(timing), m_callbacks(std::move(callbacks)),
       m_endpoint({[this](link_id id)
                   {
                       on_opened(id);
@@ -23,7 +23,7 @@
                   {
                       on_received(id, bytes);
                   }},
-                 most_message_bytes)
+                 max_message_bytes)
 {
 }
 
@@ -37,7 +37,7 @@
     m_endpoint.start();
 }
 
-void peer_links::want(const std::vector<named_address>& peers)
+void peer_links::set_peers(const std::vector<named_address>& peers)
 {
     const std::scoped_lock lock(m_mutex);
     for (auto& [name, known] : m_peers)
@@ -89,19 +89,19 @@
         const auto found = m_peers.find(name);
         if (found != m_peers.end() && !found->second.links.empty())
         {
-            found->second.sent_at = m_clock.now();
+            found->second.last_sent_at = m_clock.now();
             post(*found->second.links.rbegin(), encoded);
         }
     }
 }
 
-void peer_links::log_sent(time_point now)
+void peer_links::log_sent_bytes(time_point now)
 {
-    if (now < m_log_sent_at)
+    if (now < m_next_log_at)
     {
         return;
     }
-    m_log_sent_at = now + log_sent_every;
+    m_next_log_at = now + log_sent_interval;
     std::string sent;
     const auto kinds = m_metrics.link_bytes();
     for (const auto& [kind, bytes] : kinds.items())
@@ -114,39 +114,39 @@
 void peer_links::tick()
 {
     const time_point now = m_clock.now();
-    log_sent(now);
+    log_sent_bytes(now);
     std::vector<std::string> silent;
     {
         const std::scoped_lock lock(m_mutex);
-        static const encoded_message beat{link_message(heartbeat{})};
+        static const encoded_message encoded_heartbeat{link_message(heartbeat{})};
         for (auto& [name, known] : m_peers)
         {
-            if (known.wanted && known.dialled == 0 && now >= known.dial_at)
+            if (known.wanted && known.dialled == 0 && now >= known.next_dial_at)
             {
-                known.dial_at = now + known.dial_pause;
+                known.next_dial_at = now + known.dial_backoff;
                 known.dialled_at = now;
                 known.dialled = m_endpoint.connect(known.at.ip, known.at.port);
                 m_links[known.dialled].dialled = name;
             }
-            if (!known.links.empty() && now - known.sent_at >= m_timing.heartbeat)
+            if (!known.links.empty() && now - known.last_sent_at >= m_timing.heartbeat)
             {
-                known.sent_at = now;
-                post(*known.links.rbegin(), beat);
+                known.last_sent_at = now;
+                post(*known.links.rbegin(), encoded_heartbeat);
             }
-            const bool silent_since_dialled = known.heard_at < known.dialled_at;
-            const bool hangs = silent_since_dialled && now - known.dialled_at > known.dial_bound;
-            const bool silent_for_long =
-                now - known.heard_at > m_timing.redial && now - known.dialled_at > m_timing.redial;
-            if (known.dialled != 0 && (hangs || silent_for_long))
+            const bool no_message_since_dial = known.last_received_at < known.dialled_at;
+            const bool dial_timed_out = no_message_since_dial && now - known.dialled_at > known.dial_timeout;
+            const bool receive_timed_out =
+                now - known.last_received_at > m_timing.redial && now - known.dialled_at > m_timing.redial;
+            if (known.dialled != 0 && (dial_timed_out || receive_timed_out))
             {
                 // The connection may be open although it no longer carries messages.
                 m_endpoint.close(known.dialled);
                 known.links.erase(known.dialled);
                 known.dialled = 0;
-                known.lengthen_dial_pause();
-                known.dial_bound = std::min(known.dial_bound * 2.0, longest_dial_bound);
+                known.increase_dial_backoff();
+                known.dial_timeout = std::min(known.dial_timeout * 2.0, max_dial_timeout);
             }
-            if (known.reachable && now - known.heard_at > m_timing.silence)
+            if (known.reachable && now - known.last_received_at > m_timing.silence)
             {
                 known.reachable = false;
                 silent.push_back(name);
@@ -156,7 +156,7 @@
     for (const std::string& name : silent)
     {
         log(log_level::warning, "peer_silent", {{"peer", name}});
-        m_told.reachable(name, false);
+        m_callbacks.reachable(name, false);
     }
 }
 
@@ -178,8 +178,8 @@
     if (known.dialled == id)
     {
         known.dialled = 0;
-        known.dial_at = m_clock.now() + known.dial_pause;
-        known.lengthen_dial_pause();
+        known.next_dial_at = m_clock.now() + known.dial_backoff;
+        known.increase_dial_backoff();
     }
     if (known.links.erase(id) == 0 || !known.links.empty() || !known.reachable)
     {
@@ -219,7 +219,7 @@
     for (const std::string& name : lost)
     {
         log(log_level::info, "peer_lost", {{"peer", name}});
-        m_told.reachable(name, false);
+        m_callbacks.reachable(name, false);
     }
 }
 
@@ -234,10 +234,10 @@
     }
     const auto message = std::make_shared<const link_message>(std::move(*decoded));
     std::shared_ptr<const hello> from;
-    bool came_back = false;
+    bool became_reachable = false;
     {
         const std::scoped_lock lock(m_mutex);
-        link& here = m_links[id];
+        link& current_link = m_links[id];
         if (const auto* greeting = std::get_if<hello>(&*message))
         {
             if (greeting->protocol_version != link_protocol_version)
@@ -247,29 +247,29 @@
                 m_endpoint.close(id);
                 return;
             }
-            here.from = std::make_shared<const hello>(*greeting);
+            current_link.from = std::make_shared<const hello>(*greeting);
             m_peers[greeting->name].links.insert(id);
         }
-        if (!here.from)
+        if (!current_link.from)
         {
             return;
         }
-        from = here.from;
+        from = current_link.from;
         peer& known = m_peers[from->name];
-        known.heard_at = m_clock.now();
-        known.dial_pause = first_dial_pause;
-        known.dial_bound = first_dial_bound;
-        came_back = !known.reachable;
+        known.last_received_at = m_clock.now();
+        known.dial_backoff = initial_dial_backoff;
+        known.dial_timeout = initial_dial_timeout;
+        became_reachable = !known.reachable;
         known.reachable = true;
     }
-    if (came_back)
+    if (became_reachable)
     {
         log(log_level::info, "peer_reachable", {{"peer", from->name}, {"role", from->role}});
-        m_told.reachable(from->name, true);
+        m_callbacks.reachable(from->name, true);
     }
     if (!std::holds_alternative<hello>(*message) && !std::holds_alternative<heartbeat>(*message))
     {
-        m_told.received(from, message);
+        m_callbacks.received(from, message);
     }
 }
 
@@ -281,8 +281,10 @@
     {
         return std::nullopt;
     }
-    const auto made = m_links.find(*found->second.links.rbegin());
-    return made == m_links.end() || !made->second.from ? std::nullopt : std::optional(*made->second.from);
+    const auto newest_link = m_links.find(*found->second.links.rbegin());
+    return newest_link == m_links.end() || !newest_link->second.from
+               ? std::nullopt
+               : std::optional(*newest_link->second.from);
 }
 
 std::set<std::string> peer_links::reachable() const
--- a/src/shell/peer_links.hpp
+++ b/src/shell/peer_links.hpp
@@ -54,7 +54,7 @@
     };
 
     /// @param self the handshake that this process sends on each link
-    peer_links(hello self, metrics& counted, link_timing timing, handlers told);
+    peer_links(hello self, metrics& link_metrics, link_timing timing, handlers callbacks);
 
     /// @brief Accepts links at this address.
     /// @return false if the address can't be used; @a why then holds the reason
@@ -64,7 +64,7 @@
 
     /// @brief Sets the peers to which this process dials and keeps a link. Links that this process dialled to
     /// peers outside of this list are closed.
-    void want(const std::vector<named_address>& peers);
+    void set_peers(const std::vector<named_address>& peers);
 
     /// @brief Sends a message to a peer; has no effect if there is no link to the peer.
     void send(const std::string& name, const link_message& message);
@@ -87,20 +87,20 @@
 
     /// The wait between two dials starts with this, since a peer that starts at the same moment accepts links
     /// within this time. It doubles with each failed dial up to the maximum.
-    static constexpr duration first_dial_pause = duration::from_ms(20);
-    static constexpr duration longest_dial_pause = duration::from_ms(200);
+    static constexpr duration initial_dial_backoff = duration::from_ms(20);
+    static constexpr duration max_dial_backoff = duration::from_ms(200);
     /// A dial on which no message arrives for this long is given up and repeated. The time covers several
     /// round trips between regions and the start of a process on a busy instance. An instance without power
     /// doesn't refuse the connection, and the operating system repeats its own attempt only after a second.
-    static constexpr duration first_dial_bound = duration::from_ms(300);
+    static constexpr duration initial_dial_timeout = duration::from_ms(300);
     /// The time limit of a dial doubles with each dial that is given up, to this maximum. A peer that is only
     /// slow, for example because many processes dial it at once, is thus dialled less and less often, and its
     /// link is established in the end.
-    static constexpr duration longest_dial_bound = duration::from_ms(6000);
+    static constexpr duration max_dial_timeout = duration::from_ms(6000);
 
     /// Interval between the log lines with the bytes sent so far. One line in ten seconds is negligible
     /// beside the log lines of the requests.
-    static constexpr duration log_sent_every = duration::from_ms(10000);
+    static constexpr duration log_sent_interval = duration::from_ms(10000);
 
     /// @brief What is known of a peer, and the state of the dials to it.
     struct peer
@@ -111,21 +111,21 @@
         /// The link that this process dialled, open or not; 0 if there is none.
         link_id dialled = 0;
         /// Earliest time of the next dial.
-        time_point dial_at{};
+        time_point next_dial_at{};
         time_point dialled_at{};
         /// Wait until the next dial.
-        duration dial_pause = first_dial_pause;
+        duration dial_backoff = initial_dial_backoff;
         /// Time within which a message from the peer must arrive after a dial.
-        duration dial_bound = first_dial_bound;
+        duration dial_timeout = initial_dial_timeout;
         /// Links on which the peer sent its handshake; messages are sent on the newest of them.
         std::set<link_id> links;
-        time_point heard_at{};
-        time_point sent_at{};
+        time_point last_received_at{};
+        time_point last_sent_at{};
         bool reachable = false;
 
-        void lengthen_dial_pause() noexcept
+        void increase_dial_backoff() noexcept
         {
-            dial_pause = std::min(dial_pause * 2.0, longest_dial_pause);
+            dial_backoff = std::min(dial_backoff * 2.0, max_dial_backoff);
         }
     };
 
@@ -139,7 +139,7 @@
     };
 
     /// @brief Logs the bytes sent so far per kind of message, if the log interval has passed.
-    void log_sent(time_point now);
+    void log_sent_bytes(time_point now);
     void on_opened(link_id id);
     void on_closed(link_id id);
     void on_received(link_id id, const std::string& bytes);
@@ -151,13 +151,13 @@
     const hello m_self;
     metrics& m_metrics;
     const link_timing m_timing;
-    handlers m_told;
+    handlers m_callbacks;
     monotonic_clock m_clock;
     mutable std::mutex m_mutex;
     std::map<std::string, peer> m_peers;
     std::map<link_id, link> m_links;
     /// Time of the next log line with the bytes sent; accessed only by the thread that calls @ref tick.
-    time_point m_log_sent_at{};
+    time_point m_next_log_at{};
     // The last member, so that its thread ends before the members that the thread uses are destroyed.
     link_endpoint m_endpoint;
 };
--- a/tests/src/unit-link-message.cpp
+++ b/tests/src/unit-link-message.cpp
@@ -11,7 +11,7 @@
 
 /// @return the message after it was encoded and decoded
 template <typename Message>
-Message received(const Message& sent)
+Message encode_and_decode(const Message& sent)
 {
     const auto decoded = decode(encode(sent));
     REQUIRE(decoded);
@@ -40,9 +40,9 @@
         asked.request.progress_within = duration::from_ms(0.25);
         asked.request.asked_again = true;
         asked.request.answer_within = duration::from_ms(0.5);
-        const routed_ask got = received(asked);
-        CHECK(got.number == 7);
-        CHECK(got.request == asked.request);
+        const routed_ask decoded_message = encode_and_decode(asked);
+        CHECK(decoded_message.number == 7);
+        CHECK(decoded_message.request == asked.request);
     }
     SECTION("the outcome of a delegated request, with a result that is not valid UTF-8")
     {
@@ -58,21 +58,21 @@
         returned.outcome.retry_after = duration::from_ms(20);
         returned.outcome.attempts = 4;
         returned.outcome.took = duration::from_ms(31);
-        const routed_outcome got = received(returned).outcome;
-        CHECK(got.end == returned.outcome.end);
-        CHECK(got.merged == returned.outcome.merged);
-        CHECK(got.signatures == returned.outcome.signatures);
-        CHECK(got.missing == 1);
-        CHECK(got.missing_shards == returned.outcome.missing_shards);
-        CHECK(got.is_progress);
-        CHECK(got.reason == missing_reason::late);
-        CHECK(got.retry_after == returned.outcome.retry_after);
-        CHECK(got.attempts == 4);
-        CHECK(got.took == returned.outcome.took);
+        const routed_outcome decoded_message = encode_and_decode(returned).outcome;
+        CHECK(decoded_message.end == returned.outcome.end);
+        CHECK(decoded_message.merged == returned.outcome.merged);
+        CHECK(decoded_message.signatures == returned.outcome.signatures);
+        CHECK(decoded_message.missing == 1);
+        CHECK(decoded_message.missing_shards == returned.outcome.missing_shards);
+        CHECK(decoded_message.is_progress);
+        CHECK(decoded_message.reason == missing_reason::late);
+        CHECK(decoded_message.retry_after == returned.outcome.retry_after);
+        CHECK(decoded_message.attempts == 4);
+        CHECK(decoded_message.took == returned.outcome.took);
     }
     SECTION("the end of a delegation")
     {
-        CHECK(received(routed_abandon{9}).number == 9);
+        CHECK(encode_and_decode(routed_abandon{9}).number == 9);
     }
 }
 
@@ -82,30 +82,31 @@
     {
         registration_update update;
         update.whole = true;
-        registration said;
-        said.id = backend_server_name("i-1");
-        said.service = service_name("s");
-        said.address = "10.0.0.1:80";
-        said.availability_zone = "z";
-        said.software = "v1";
-        said.slots = 4;
-        said.state = registration_state::draining;
-        said.warmup_left = duration::from_ms(300);
-        said.sequence = 12;
-        update.items = {said};
-        const registration_update got = received(update);
-        CHECK(got.whole);
-        CHECK(got.items == update.items);
-        CHECK(received(registration_heard{{{said.id, 5, 7}}}).items.at(0) == sign_of_life{said.id, 5, 7});
-        CHECK(received(registration_digest{~std::uint64_t{0}}).digest == ~std::uint64_t{0});
+        registration sent_registration;
+        sent_registration.id = backend_server_name("i-1");
+        sent_registration.service = service_name("s");
+        sent_registration.address = "10.0.0.1:80";
+        sent_registration.availability_zone = "z";
+        sent_registration.software = "v1";
+        sent_registration.slots = 4;
+        sent_registration.state = registration_state::draining;
+        sent_registration.warmup_left = duration::from_ms(300);
+        sent_registration.sequence = 12;
+        update.items = {sent_registration};
+        const registration_update decoded_message = encode_and_decode(update);
+        CHECK(decoded_message.whole);
+        CHECK(decoded_message.items == update.items);
+        CHECK(encode_and_decode(registration_heard{{{sent_registration.id, 5, 7}}}).items.at(0) ==
+              sign_of_life{sent_registration.id, 5, 7});
+        CHECK(encode_and_decode(registration_digest{~std::uint64_t{0}}).digest == ~std::uint64_t{0});
     }
     SECTION("processes")
     {
-        CHECK(received(control_members{{"a:1", "b:2"}}).names.size() == 2);
+        CHECK(encode_and_decode(control_members{{"a:1", "b:2"}}).names.size() == 2);
         const entry_list list{true, {{instance_name("e"), "r", "z", "10.0.0.1:7"}}, {instance_name("f")}};
-        CHECK(received(list).items == list.items);
-        CHECK(received(member_request{"catalog", "add", "c"}).action == "add");
-        CHECK(received(hello{link_protocol_version, "entry", "e", 5, "r", "z", "a:1"}).zone == "z");
+        CHECK(encode_and_decode(list).items == list.items);
+        CHECK(encode_and_decode(member_request{"catalog", "add", "c"}).action == "add");
+        CHECK(encode_and_decode(hello{link_protocol_version, "entry", "e", 5, "r", "z", "a:1"}).zone == "z");
     }
 }
 
@@ -128,17 +129,19 @@
 
     SECTION("a compressed message is unchanged by encoding and decoding")
     {
-        CHECK(received(sent).items == sent.items);
+        CHECK(encode_and_decode(sent).items == sent.items);
     }
     SECTION("a truncated, corrupted or extended message is refused")
     {
-        for (const std::size_t kept : {std::size_t{1}, std::size_t{2}, bytes.size() / 2, bytes.size() - 1})
+        for (const std::size_t truncated_size :
+             {std::size_t{1}, std::size_t{2}, bytes.size() / 2, bytes.size() - 1})
         {
-            CHECK_FALSE(decode(bytes.substr(0, kept)));
+            CHECK_FALSE(decode(bytes.substr(0, truncated_size)));
         }
-        std::string bent = bytes;
-        bent[bent.size() / 2] = static_cast<char>(bent[bent.size() / 2] ^ 0x55);
-        CHECK_FALSE(decode(bent));
+        std::string corrupted_bytes = bytes;
+        corrupted_bytes[corrupted_bytes.size() / 2] =
+            static_cast<char>(corrupted_bytes[corrupted_bytes.size() / 2] ^ 0x55);
+        CHECK_FALSE(decode(corrupted_bytes));
         CHECK_FALSE(decode(bytes + "x"));
     }
     SECTION("decompression beyond the size limit is refused")
