--- a/src/shell/backend_pool.cpp
+++ b/src/shell/backend_pool.cpp
@@ -17,10 +17,10 @@
 namespace
 {
 
-/// How long after its deadline an attempt's answer is still awaited, so that a slow cancel can be told from a
-/// dead connection.
+/// Time after the deadline of an attempt during which its answer is still accepted, so that a slow
+/// cancellation can be distinguished from a dead connection.
 constexpr duration answer_grace = duration::from_ms(250);
-/// How long a cancel may take to be acknowledged.
+/// Time within which the backend server must acknowledge a cancellation.
 constexpr duration cancel_timeout = duration::from_ms(1000);
 constexpr const char* id_header = "X-Request-Id";
 
@@ -151,8 +151,8 @@
     exchange.target = "/cancel";
     exchange.headers.add("Host", m_host);
     exchange.patience = cancel_timeout;
-    // One at a time, on the connection that stays free of subqueries. The end of the attempt itself tells
-    // what came of it.
+    // Cancellations are sent one at a time, on the connection that is not used for subqueries. The reply is
+    // ignored, since the result of the attempt itself shows whether it was stopped.
     m_connections.send(std::move(exchange),
                        [self = shared_from_this()](const http_exchange_result&)
                        {
--- a/src/shell/connection_pool.cpp
+++ b/src/shell/connection_pool.cpp
@@ -21,12 +21,14 @@
 namespace
 {
 
-/// A peer that doesn't take a connection within this can't be reached.
+/// A peer that doesn't accept a connection within this time counts as unreachable.
 constexpr duration connect_timeout = duration::from_ms(1000);
-/// A peer that lost a connection is asked for a new one for this long: a way between regions and back.
+/// After a peer closed a connection without a reply, a new connection is tried for this long, which covers
+/// one round trip between regions.
 constexpr duration probe_timeout = duration::from_ms(100);
-/// Beyond one, a connection that rested this long is closed. A backend server that doesn't learn of an
-/// instance's loss of power still counts its connections for some seconds, beside the new ones.
+/// Idle connections beyond one, or beyond the number kept open in advance, are closed after this time. If an
+/// instance loses power, a backend server that isn't notified counts the connections of the lost instance for
+/// some more seconds, in addition to the new ones.
 constexpr duration surplus_rest = duration::from_ms(1000);
 
 using connection_ptr = std::shared_ptr<http_connection>;
@@ -35,16 +37,17 @@
 
 struct connection_pool::state : std::enable_shared_from_this<connection_pool::state>
 {
-    /// An exchange that may be closed.
+    /// @brief An exchange in progress that @ref connection_pool::close may end.
     struct open_exchange
     {
-        /// Empty while the connection isn't made yet.
-        connection_ptr on;
+        /// Null until the connection is established.
+        connection_ptr connection;
         bool closed = false;
     };
 
-    state(const connection_strand& on, const address& where, metrics& counted_in)
-        : strand(on), at(net::ip::make_address(where.ip), where.port), counted(counted_in)
+    state(const connection_strand& pool_strand, const address& peer_address, metrics& metrics_in)
+        : strand(pool_strand), at(net::ip::make_address(peer_address.ip), peer_address.port),
+          counted(metrics_in)
     {
     }
 
@@ -58,7 +61,7 @@
     std::vector<connection_ptr> idle;
     std::unordered_map<std::uint64_t, open_exchange> under_way;
 
-    /// @return an idle connection that may be used, or nothing
+    /// @return a reusable idle connection, or null if there is none
     connection_ptr take_idle(duration most_rest)
     {
         while (!idle.empty())
@@ -81,7 +84,8 @@
         used->close();
     }
 
-    /// @param done gets the connection, or nothing
+    /// @brief Opens a connection.
+    /// @param done receives the connection, or null if the attempt failed
     template <typename Done>
     void dial(Done done, duration patience = connect_timeout)
     {
@@ -113,7 +117,7 @@
         close_surplus();
     }
 
-    /// Those in front were used least lately.
+    /// @brief Closes surplus idle connections; the least recently used ones are at the front.
     void close_surplus()
     {
         const auto kept = static_cast<std::size_t>(std::max(warm, 1));
@@ -186,7 +190,7 @@
         }
         if (fresh)
         {
-            // Closed before anything was sent: the connection is as good as new.
+            // The exchange was closed before any byte was sent, so the connection can be reused.
             put_back(fresh, true);
         }
         end(wanted.token, {}, done);
@@ -197,7 +201,7 @@
         const std::uint64_t token = wanted.token;
         if (token != 0)
         {
-            under_way[token].on = used;
+            under_way[token].connection = used;
         }
         used->exchange(std::move(wanted),
                        [self = shared_from_this(), used, token,
@@ -217,8 +221,8 @@
                        });
     }
 
-    /// Tells a peer that has gone from one that only closed the connection, by a new one to it. That isn't
-    /// wasted: it takes the place of the one that was lost.
+    /// @brief Opens a new connection, in order to distinguish a peer that is gone from a peer that only
+    /// closed one connection. The new connection is kept in place of the lost one.
     void probe(std::uint64_t token, http_exchange_result result, completion done)
     {
         if (open >= most)
@@ -267,7 +271,7 @@
             return;
         }
         found->second.closed = true;
-        if (const connection_ptr used = found->second.on)
+        if (const connection_ptr used = found->second.connection)
         {
             used->close();
         }
@@ -279,7 +283,7 @@
 {
 }
 
-/// Exchanges that are under way end on their own; what rests is closed with the pool.
+/// Exchanges in progress continue to their end; idle connections are closed with the pool.
 connection_pool::~connection_pool() = default;
 
 void connection_pool::configure(int most_connections, int warm)
--- a/src/shell/pools_by_server.hpp
+++ b/src/shell/pools_by_server.hpp
@@ -13,18 +13,20 @@
 namespace flaxtiller::shell
 {
 
-/// @brief The pools of this instance by backend server. Thread-safe; lookups don't hold one another up.
+/// @brief The connection pools of this instance, by the name of the backend server. Thread-safe; lookups
+/// don't block each other.
 /// @tparam Pool @ref backend_pool or @ref connection_pool
 template <typename Pool>
 class pools_by_server
 {
   public:
-    /// @param home where the pools live
+    /// @param execution_context runs the work of the pools
     pools_by_server(typename Pool::home home, metrics& counted) : m_home(home), m_metrics(counted)
     {
     }
 
-    /// @brief Makes the pool of a backend server, or adapts it; another address makes a new one.
+    /// @brief Creates the pool of a backend server or changes its limits. If the address differs from that of
+    /// the present pool, a new pool replaces the present one.
     void configure(const backend_server_name& server, const address& at, int most_connections, int warm)
     {
         typename map::accessor found;
@@ -36,14 +38,14 @@
         found->second.pool->configure(most_connections, warm);
     }
 
-    /// @return the pool, or nothing
+    /// @return the pool of a backend server, or null if there is none
     std::shared_ptr<Pool> find(const backend_server_name& server) const
     {
         typename map::const_accessor found;
         return m_pools.find(found, server.str()) ? found->second.pool : nullptr;
     }
 
-    /// @brief Forgets a backend server; attempts under way end on their own.
+    /// @brief Removes the pool of a backend server; attempts in progress continue to their end.
     void remove(const backend_server_name& server)
     {
         m_pools.erase(server.str());
--- a/tests/src/unit-connection-pool.cpp
+++ b/tests/src/unit-connection-pool.cpp
@@ -20,7 +20,7 @@
 namespace
 {
 
-/// A peer on loopback: what it does with each request is up to the test.
+/// @brief An HTTP server on the loopback address; the test supplies the handler of the requests.
 class peer
 {
   public:
@@ -118,7 +118,7 @@
                   });
     }
 
-    /// Runs until so many results are there.
+    /// @brief Runs the I/O until this many exchanges have ended, for at most 10 s.
     void await(std::size_t count)
     {
         const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(10);
@@ -148,9 +148,9 @@
 
 } // namespace
 
-TEST_CASE("exchanges over kept connections", "[http]")
+TEST_CASE("exchanges over pooled connections", "[http]")
 {
-    SECTION("one after the other use one connection")
+    SECTION("successive exchanges share one connection")
     {
         pool_fixture on(answer);
         for (std::size_t i = 1; i <= 5; ++i)
@@ -163,7 +163,7 @@
         CHECK(on.server.connections == 1);
         CHECK(on.pool.connections() == 1);
     }
-    SECTION("beyond the share no connection is made, and nothing was sent")
+    SECTION("an exchange beyond the connection limit ends as unreachable and opens no connection")
     {
         pool_fixture on(stay_silent);
         for (const char* id : {"a", "b", "c"})
@@ -177,7 +177,7 @@
         CHECK(on.server.connections == 2);
         CHECK(on.pool.connections() == 0);
     }
-    SECTION("that get no reply in time are cut, whatever was under way before")
+    SECTION("an exchange without a reply in time is cut, whatever the time limit of the previous exchange")
     {
         pool_fixture on(
             [](const std::shared_ptr<peer::session>& to, const std::string& id)
@@ -195,7 +195,7 @@
         CHECK(on.results[1].end == exchange_end::cut);
         CHECK(std::chrono::steady_clock::now() - begun < std::chrono::seconds(2));
     }
-    SECTION("whose peer goes away before any reply are told from those whose reply breaks off")
+    SECTION("an exchange with a peer that is gone is distinguished from one whose connection alone was lost")
     {
         pool_fixture* fixture = nullptr;
         pool_fixture on(
@@ -222,14 +222,15 @@
             on.send(id);
             on.await(++count);
         }
-        // It takes new connections, so that it only lost this one.
+        // In the first three exchanges the peer still accepts connections, so that only one connection was
+        // lost.
         CHECK(on.results[0].end == exchange_end::cut);
         CHECK(on.results[1].end == exchange_end::cut);
         CHECK(on.results[2].end == exchange_end::cut);
         CHECK(on.results[3].end == exchange_end::hung_up);
         CHECK(on.pool.connections() == 0);
     }
-    SECTION("that the user closes end so, and at once")
+    SECTION("an exchange that the caller closes ends as closed")
     {
         pool_fixture on(stay_silent);
         on.send("a", 5000.0, 7);
@@ -239,7 +240,7 @@
         CHECK(on.results[0].end == exchange_end::closed);
         CHECK(on.pool.connections() == 0);
     }
-    SECTION("a reply to another request is none, and its connection isn't used again")
+    SECTION("a reply to another request is rejected, and its connection is not reused")
     {
         pool_fixture on(
             [](const std::shared_ptr<peer::session>& to, const std::string& id)
@@ -255,7 +256,8 @@
         CHECK(on.results[1].end == exchange_end::replied);
         CHECK(on.server.connections == 2);
     }
-    SECTION("a surplus reply uses up the connection, also one that comes while it rests")
+    SECTION("a connection that received a surplus reply is not reused, even if the reply arrived while it "
+            "was idle")
     {
         pool_fixture on(
             [](const std::shared_ptr<peer::session>& to, const std::string& id)
@@ -276,7 +278,7 @@
         CHECK(on.results[1].end == exchange_end::replied);
         CHECK(on.server.connections == 2);
     }
-    SECTION("a peer that closed while the connection rested isn't sent anything on it")
+    SECTION("an idle connection that the peer closed is not reused")
     {
         pool_fixture on(
             [](const std::shared_ptr<peer::session>& to, const std::string& id)
@@ -294,12 +296,12 @@
         }
         CHECK(on.server.connections == 3);
     }
-    SECTION("of a peer that takes no connection nothing is sent")
+    SECTION("an exchange with a peer that refuses connections ends as unreachable")
     {
         pool_fixture on(answer);
         address nobody = on.server.at();
         {
-            // A port that was just given back.
+            // A port on which nothing listens, since its acceptor is closed at the end of this block.
             tcp::acceptor taken(on.io, {net::ip::make_address("127.0.0.1"), 0});
             nobody.port = taken.local_endpoint().port();
         }
