--- a/src/shell/backend_pool.cpp
+++ b/src/shell/backend_pool.cpp
@@ -37,10 +37,10 @@
 
 duration retry_after(const http_fields& headers)
 {
-    constexpr std::size_t most_digits = 9;
+    constexpr std::size_t max_digits = 9;
     const std::string text = headers.value("X-Retry-After-Ms");
     const bool digits =
-        text.size() <= most_digits && text.find_first_not_of("0123456789") == std::string::npos;
+        text.size() <= max_digits && text.find_first_not_of("0123456789") == std::string::npos;
     return duration::from_ms(text.empty() || !digits ? 0.0 : std::stod(text));
 }
 
@@ -89,8 +89,8 @@
 
 } // namespace
 
-backend_pool::backend_pool(boost::asio::io_context& io, address at, metrics& counted)
-    : m_host(at.str()), m_connections(boost::asio::make_strand(io), at, counted)
+backend_pool::backend_pool(boost::asio::io_context& io, address at, metrics& pool_metrics)
+    : m_host(at.str()), m_connections(boost::asio::make_strand(io), at, pool_metrics)
 {
 }
 
--- a/src/shell/backend_pool.hpp
+++ b/src/shell/backend_pool.hpp
@@ -41,9 +41,9 @@
     using completion = std::function<void(const dispatch::attempt_result&)>;
 
     /// The type of the constructor's first argument, which @ref pools_by_server passes to each pool.
-    using home = boost::asio::io_context&;
+    using execution_context = boost::asio::io_context&;
 
-    backend_pool(boost::asio::io_context& io, address at, metrics& counted);
+    backend_pool(boost::asio::io_context& io, address at, metrics& pool_metrics);
 
     /// @brief Sets the limits, and opens connections in advance.
     /// @param most_connections maximum number of connections
--- a/src/shell/connection_pool.cpp
+++ b/src/shell/connection_pool.cpp
@@ -29,7 +29,7 @@
 /// Idle connections beyond one, or beyond the number kept open in advance, are closed after this time. If an
 /// instance loses power, a backend server that isn't notified counts the connections of the lost instance for
 /// some more seconds, in addition to the new ones.
-constexpr duration surplus_rest = duration::from_ms(1000);
+constexpr duration surplus_idle_timeout = duration::from_ms(1000);
 
 using connection_ptr = std::shared_ptr<http_connection>;
 
@@ -47,19 +47,19 @@
 
     state(const connection_strand& pool_strand, const address& peer_address, metrics& metrics_in)
         : strand(pool_strand), at(net::ip::make_address(peer_address.ip), peer_address.port),
-          counted(metrics_in)
+          pool_metrics(metrics_in)
     {
     }
 
     connection_strand strand;
     tcp::endpoint at;
-    metrics& counted;
+    metrics& pool_metrics;
     monotonic_clock clock;
-    int most = 1;
+    int max_open = 1;
     int warm = 0;
     std::atomic<int> open{0};
     std::vector<connection_ptr> idle;
-    std::unordered_map<std::uint64_t, open_exchange> under_way;
+    std::unordered_map<std::uint64_t, open_exchange> exchanges_in_progress;
 
     /// @return a reusable idle connection, or null if there is none
     connection_ptr take_idle(duration most_rest)
@@ -90,24 +90,25 @@
     void dial(Done done, duration patience = connect_timeout)
     {
         ++open;
-        auto fresh = std::make_shared<http_connection>(strand);
-        fresh->connect(at, patience,
-                       [self = shared_from_this(), fresh, done = std::move(done)](bool stands) mutable
-                       {
-                           if (!stands)
-                           {
-                               self->drop(fresh);
-                               done(nullptr);
-                               return;
-                           }
-                           self->counted.add(metrics::counter::connections_opened);
-                           done(fresh);
-                       });
+        auto new_connection = std::make_shared<http_connection>(strand);
+        new_connection->connect(
+            at, patience,
+            [self = shared_from_this(), new_connection, done = std::move(done)](bool is_connected) mutable
+            {
+                if (!is_connected)
+                {
+                    self->drop(new_connection);
+                    done(nullptr);
+                    return;
+                }
+                self->pool_metrics.add(metrics::counter::connections_opened);
+                done(new_connection);
+            });
     }
 
     void put_back(connection_ptr used, bool reusable)
     {
-        if (!reusable || open > most)
+        if (!reusable || open > max_open)
         {
             drop(used);
             return;
@@ -121,7 +122,7 @@
     void close_surplus()
     {
         const auto kept = static_cast<std::size_t>(std::max(warm, 1));
-        while (idle.size() > kept && clock.now() - idle.front()->rests_since > surplus_rest)
+        while (idle.size() > kept && clock.now() - idle.front()->rests_since > surplus_idle_timeout)
         {
             drop(idle.front());
             idle.erase(idle.begin());
@@ -130,7 +131,7 @@
 
     void shrink()
     {
-        while (open > most && !idle.empty())
+        while (open > max_open && !idle.empty())
         {
             drop(idle.back());
             idle.pop_back();
@@ -139,16 +140,16 @@
 
     void keep_warm()
     {
-        if (static_cast<int>(idle.size()) >= warm || open >= std::min(most, warm))
+        if (static_cast<int>(idle.size()) >= warm || open >= std::min(max_open, warm))
         {
             return;
         }
         dial(
-            [self = shared_from_this()](const connection_ptr& fresh)
+            [self = shared_from_this()](const connection_ptr& new_connection)
             {
-                if (fresh)
+                if (new_connection)
                 {
-                    self->put_back(fresh, true);
+                    self->put_back(new_connection, true);
                     self->keep_warm();
                 }
             });
@@ -158,13 +159,13 @@
     {
         if (wanted.token != 0)
         {
-            under_way.emplace(wanted.token, open_exchange{});
+            exchanges_in_progress.emplace(wanted.token, open_exchange{});
         }
         if (connection_ptr reused = take_idle(wanted.most_rest))
         {
-            talk(reused, std::move(wanted), std::move(done));
+            exchange_on(reused, std::move(wanted), std::move(done));
         }
-        else if (open >= most)
+        else if (open >= max_open)
         {
             end(wanted.token, {}, done);
         }
@@ -172,36 +173,36 @@
         {
             dial(
                 [self = shared_from_this(), wanted = std::move(wanted),
-                 done = std::move(done)](const connection_ptr& fresh) mutable
+                 done = std::move(done)](const connection_ptr& new_connection) mutable
                 {
-                    self->on_dialled(fresh, std::move(wanted), std::move(done));
+                    self->on_dialled(new_connection, std::move(wanted), std::move(done));
                 });
         }
     }
 
-    void on_dialled(const connection_ptr& fresh, http_exchange wanted, completion done)
+    void on_dialled(const connection_ptr& new_connection, http_exchange wanted, completion done)
     {
-        const auto known = under_way.find(wanted.token);
-        const bool closed = known != under_way.end() && known->second.closed;
-        if (fresh && !closed)
+        const auto known = exchanges_in_progress.find(wanted.token);
+        const bool closed = known != exchanges_in_progress.end() && known->second.closed;
+        if (new_connection && !closed)
         {
-            talk(fresh, std::move(wanted), std::move(done));
+            exchange_on(new_connection, std::move(wanted), std::move(done));
             return;
         }
-        if (fresh)
+        if (new_connection)
         {
             // The exchange was closed before any byte was sent, so the connection can be reused.
-            put_back(fresh, true);
+            put_back(new_connection, true);
         }
         end(wanted.token, {}, done);
     }
 
-    void talk(const connection_ptr& used, http_exchange wanted, completion done)
+    void exchange_on(const connection_ptr& used, http_exchange wanted, completion done)
     {
         const std::uint64_t token = wanted.token;
         if (token != 0)
         {
-            under_way[token].connection = used;
+            exchanges_in_progress[token].connection = used;
         }
         used->exchange(std::move(wanted),
                        [self = shared_from_this(), used, token,
@@ -209,7 +210,7 @@
                        {
                            if (result.end == exchange_end::foreign)
                            {
-                               self->counted.add(metrics::counter::foreign_answers);
+                               self->pool_metrics.add(metrics::counter::foreign_answers);
                            }
                            self->put_back(used, reusable);
                            if (result.end == exchange_end::hung_up)
@@ -225,22 +226,22 @@
     /// closed one connection. The new connection is kept in place of the lost one.
     void probe(std::uint64_t token, http_exchange_result result, completion done)
     {
-        if (open >= most)
+        if (open >= max_open)
         {
             result.end = exchange_end::cut;
             end(token, std::move(result), done);
             return;
         }
-        const time_point begun = clock.now();
+        const time_point probe_started_at = clock.now();
         dial(
-            [self = shared_from_this(), token, begun, result = std::move(result),
-             done = std::move(done)](const connection_ptr& fresh) mutable
+            [self = shared_from_this(), token, probe_started_at, result = std::move(result),
+             done = std::move(done)](const connection_ptr& new_connection) mutable
             {
-                if (fresh)
+                if (new_connection)
                 {
-                    self->put_back(fresh, true);
+                    self->put_back(new_connection, true);
                 }
-                if (fresh || self->clock.now() - begun >= probe_timeout)
+                if (new_connection || self->clock.now() - probe_started_at >= probe_timeout)
                 {
                     result.end = exchange_end::cut;
                 }
@@ -251,22 +252,22 @@
 
     void end(std::uint64_t token, http_exchange_result result, const completion& done)
     {
-        const auto known = under_way.find(token);
-        if (known != under_way.end())
+        const auto known = exchanges_in_progress.find(token);
+        if (known != exchanges_in_progress.end())
         {
             if (known->second.closed && result.end != exchange_end::replied)
             {
                 result.end = exchange_end::closed;
             }
-            under_way.erase(known);
+            exchanges_in_progress.erase(known);
         }
         done(std::move(result));
     }
 
     void close(std::uint64_t token)
     {
-        const auto found = under_way.find(token);
-        if (found == under_way.end())
+        const auto found = exchanges_in_progress.find(token);
+        if (found == exchanges_in_progress.end())
         {
             return;
         }
@@ -278,8 +279,8 @@
     }
 };
 
-connection_pool::connection_pool(const connection_strand& strand, address at, metrics& counted)
-    : m_state(std::make_shared<state>(strand, at, counted))
+connection_pool::connection_pool(const connection_strand& strand, address at, metrics& pool_metrics)
+    : m_state(std::make_shared<state>(strand, at, pool_metrics))
 {
 }
 
@@ -291,7 +292,7 @@
     net::dispatch(m_state->strand,
                   [self = m_state, most_connections, warm]
                   {
-                      self->most = most_connections;
+                      self->max_open = most_connections;
                       self->warm = warm;
                       self->shrink();
                       self->keep_warm();
--- a/src/shell/connection_pool.hpp
+++ b/src/shell/connection_pool.hpp
@@ -22,11 +22,11 @@
     using completion = std::function<void(http_exchange_result)>;
 
     /// The type of the constructor's first argument, which @ref pools_by_server passes to each pool.
-    using home = connection_strand;
+    using execution_context = connection_strand;
 
     /// @param strand runs the work of the pool and calls the completions
     /// @param at address of the peer
-    connection_pool(const connection_strand& strand, address at, metrics& counted);
+    connection_pool(const connection_strand& strand, address at, metrics& pool_metrics);
     ~connection_pool();
     connection_pool(const connection_pool&) = delete;
     connection_pool& operator=(const connection_pool&) = delete;
--- a/src/shell/pools_by_server.hpp
+++ b/src/shell/pools_by_server.hpp
@@ -21,7 +21,8 @@
 {
   public:
     /// @param execution_context runs the work of the pools
-    pools_by_server(typename Pool::home home, metrics& counted) : m_home(home), m_metrics(counted)
+    pools_by_server(typename Pool::execution_context execution_context, metrics& pool_metrics)
+        : m_execution_context(execution_context), m_metrics(pool_metrics)
     {
     }
 
@@ -33,7 +34,7 @@
         m_pools.insert(found, server.str());
         if (!found->second.pool || !(found->second.at == at))
         {
-            found->second = {at, std::make_shared<Pool>(m_home, at, m_metrics)};
+            found->second = {at, std::make_shared<Pool>(m_execution_context, at, m_metrics)};
         }
         found->second.pool->configure(most_connections, warm);
     }
@@ -59,7 +60,7 @@
     };
     using map = tbb::concurrent_hash_map<std::string, entry>;
 
-    typename Pool::home m_home;
+    typename Pool::execution_context m_execution_context;
     metrics& m_metrics;
     map m_pools;
 };
--- a/tests/src/unit-connection-pool.cpp
+++ b/tests/src/unit-connection-pool.cpp
@@ -119,10 +119,10 @@
     }
 
     /// @brief Runs the I/O until this many exchanges have ended, for at most 10 s.
-    void await(std::size_t count)
+    void wait_for_results(std::size_t count)
     {
-        const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(10);
-        while (results.size() < count && std::chrono::steady_clock::now() < until)
+        const auto wait_deadline = std::chrono::steady_clock::now() + std::chrono::seconds(10);
+        while (results.size() < count && std::chrono::steady_clock::now() < wait_deadline)
         {
             io.restart();
             io.run_for(std::chrono::milliseconds(5));
@@ -137,12 +137,12 @@
     std::vector<http_exchange_result> results;
 };
 
-void answer(const std::shared_ptr<peer::session>& to, const std::string& id)
+void reply_at_once(const std::shared_ptr<peer::session>& to, const std::string& id)
 {
     peer::reply(to, id);
 }
 
-void stay_silent(const std::shared_ptr<peer::session>&, const std::string&)
+void send_no_reply(const std::shared_ptr<peer::session>&, const std::string&)
 {
 }
 
@@ -152,34 +152,34 @@
 {
     SECTION("successive exchanges share one connection")
     {
-        pool_fixture on(answer);
+        pool_fixture pool_client(reply_at_once);
         for (std::size_t i = 1; i <= 5; ++i)
         {
-            on.send("r" + std::to_string(i));
-            on.await(i);
-            CHECK(on.results.back().end == exchange_end::replied);
-            CHECK(on.results.back().body == "ok");
+            pool_client.send("r" + std::to_string(i));
+            pool_client.wait_for_results(i);
+            CHECK(pool_client.results.back().end == exchange_end::replied);
+            CHECK(pool_client.results.back().body == "ok");
         }
-        CHECK(on.server.connections == 1);
-        CHECK(on.pool.connections() == 1);
+        CHECK(pool_client.server.connections == 1);
+        CHECK(pool_client.pool.connections() == 1);
     }
     SECTION("an exchange beyond the connection limit ends as unreachable and opens no connection")
     {
-        pool_fixture on(stay_silent);
+        pool_fixture pool_client(send_no_reply);
         for (const char* id : {"a", "b", "c"})
         {
-            on.send(id, 100.0);
+            pool_client.send(id, 100.0);
         }
-        on.await(3);
-        CHECK(on.results[0].end == exchange_end::unreachable);
-        CHECK(on.results[1].end == exchange_end::cut);
-        CHECK(on.results[2].end == exchange_end::cut);
-        CHECK(on.server.connections == 2);
-        CHECK(on.pool.connections() == 0);
+        pool_client.wait_for_results(3);
+        CHECK(pool_client.results[0].end == exchange_end::unreachable);
+        CHECK(pool_client.results[1].end == exchange_end::cut);
+        CHECK(pool_client.results[2].end == exchange_end::cut);
+        CHECK(pool_client.server.connections == 2);
+        CHECK(pool_client.pool.connections() == 0);
     }
     SECTION("an exchange without a reply in time is cut, whatever the time limit of the previous exchange")
     {
-        pool_fixture on(
+        pool_fixture pool_client(
             [](const std::shared_ptr<peer::session>& to, const std::string& id)
             {
                 if (id != "silent")
@@ -187,23 +187,23 @@
                     peer::reply(to, id);
                 }
             });
-        on.send("first", 5000.0);
-        on.await(1);
+        pool_client.send("first", 5000.0);
+        pool_client.wait_for_results(1);
         const auto begun = std::chrono::steady_clock::now();
-        on.send("silent", 50.0);
-        on.await(2);
-        CHECK(on.results[1].end == exchange_end::cut);
+        pool_client.send("silent", 50.0);
+        pool_client.wait_for_results(2);
+        CHECK(pool_client.results[1].end == exchange_end::cut);
         CHECK(std::chrono::steady_clock::now() - begun < std::chrono::seconds(2));
     }
     SECTION("an exchange with a peer that is gone is distinguished from one whose connection alone was lost")
     {
-        pool_fixture* fixture = nullptr;
-        pool_fixture on(
-            [&fixture](const std::shared_ptr<peer::session>& to, const std::string& id)
+        pool_fixture* client_in_handler = nullptr;
+        pool_fixture pool_client(
+            [&client_in_handler](const std::shared_ptr<peer::session>& to, const std::string& id)
             {
                 if (id == "gone")
                 {
-                    fixture->server.stop();
+                    client_in_handler->server.stop();
                 }
                 if (id == "part")
                 {
@@ -215,51 +215,51 @@
                 }
                 to->socket.close();
             });
-        fixture = &on;
+        client_in_handler = &pool_client;
         std::size_t count = 0;
         for (const char* id : {"none", "reset", "part", "gone"})
         {
-            on.send(id);
-            on.await(++count);
+            pool_client.send(id);
+            pool_client.wait_for_results(++count);
         }
         // In the first three exchanges the peer still accepts connections, so that only one connection was
         // lost.
-        CHECK(on.results[0].end == exchange_end::cut);
-        CHECK(on.results[1].end == exchange_end::cut);
-        CHECK(on.results[2].end == exchange_end::cut);
-        CHECK(on.results[3].end == exchange_end::hung_up);
-        CHECK(on.pool.connections() == 0);
+        CHECK(pool_client.results[0].end == exchange_end::cut);
+        CHECK(pool_client.results[1].end == exchange_end::cut);
+        CHECK(pool_client.results[2].end == exchange_end::cut);
+        CHECK(pool_client.results[3].end == exchange_end::hung_up);
+        CHECK(pool_client.pool.connections() == 0);
     }
     SECTION("an exchange that the caller closes ends as closed")
     {
-        pool_fixture on(stay_silent);
-        on.send("a", 5000.0, 7);
-        on.io.run_for(std::chrono::milliseconds(50));
-        on.pool.close(7);
-        on.await(1);
-        CHECK(on.results[0].end == exchange_end::closed);
-        CHECK(on.pool.connections() == 0);
+        pool_fixture pool_client(send_no_reply);
+        pool_client.send("a", 5000.0, 7);
+        pool_client.io.run_for(std::chrono::milliseconds(50));
+        pool_client.pool.close(7);
+        pool_client.wait_for_results(1);
+        CHECK(pool_client.results[0].end == exchange_end::closed);
+        CHECK(pool_client.pool.connections() == 0);
     }
     SECTION("a reply to another request is rejected, and its connection is not reused")
     {
-        pool_fixture on(
+        pool_fixture pool_client(
             [](const std::shared_ptr<peer::session>& to, const std::string& id)
             {
                 peer::reply(to, id == "a" ? "other" : id);
             });
-        on.send("a");
-        on.await(1);
-        CHECK(on.results[0].end == exchange_end::foreign);
-        CHECK(on.results[0].body.empty());
-        on.send("b");
-        on.await(2);
-        CHECK(on.results[1].end == exchange_end::replied);
-        CHECK(on.server.connections == 2);
+        pool_client.send("a");
+        pool_client.wait_for_results(1);
+        CHECK(pool_client.results[0].end == exchange_end::foreign);
+        CHECK(pool_client.results[0].body.empty());
+        pool_client.send("b");
+        pool_client.wait_for_results(2);
+        CHECK(pool_client.results[1].end == exchange_end::replied);
+        CHECK(pool_client.server.connections == 2);
     }
     SECTION("a connection that received a surplus reply is not reused, even if the reply arrived while it "
             "was idle")
     {
-        pool_fixture on(
+        pool_fixture pool_client(
             [](const std::shared_ptr<peer::session>& to, const std::string& id)
             {
                 peer::reply(to, id);
@@ -268,19 +268,19 @@
                     peer::reply(to, id);
                 }
             });
-        on.send("a");
-        on.await(1);
-        CHECK(on.results[0].end == exchange_end::replied);
-        on.io.restart();
-        on.io.run_for(std::chrono::milliseconds(20));
-        on.send("b");
-        on.await(2);
-        CHECK(on.results[1].end == exchange_end::replied);
-        CHECK(on.server.connections == 2);
+        pool_client.send("a");
+        pool_client.wait_for_results(1);
+        CHECK(pool_client.results[0].end == exchange_end::replied);
+        pool_client.io.restart();
+        pool_client.io.run_for(std::chrono::milliseconds(20));
+        pool_client.send("b");
+        pool_client.wait_for_results(2);
+        CHECK(pool_client.results[1].end == exchange_end::replied);
+        CHECK(pool_client.server.connections == 2);
     }
     SECTION("an idle connection that the peer closed is not reused")
     {
-        pool_fixture on(
+        pool_fixture pool_client(
             [](const std::shared_ptr<peer::session>& to, const std::string& id)
             {
                 peer::reply(to, id);
@@ -288,35 +288,35 @@
             });
         for (std::size_t i = 1; i <= 3; ++i)
         {
-            on.send("r" + std::to_string(i));
-            on.await(i);
-            on.io.restart();
-            on.io.run_for(std::chrono::milliseconds(10));
-            CHECK(on.results.back().end == exchange_end::replied);
+            pool_client.send("r" + std::to_string(i));
+            pool_client.wait_for_results(i);
+            pool_client.io.restart();
+            pool_client.io.run_for(std::chrono::milliseconds(10));
+            CHECK(pool_client.results.back().end == exchange_end::replied);
         }
-        CHECK(on.server.connections == 3);
+        CHECK(pool_client.server.connections == 3);
     }
     SECTION("an exchange with a peer that refuses connections ends as unreachable")
     {
-        pool_fixture on(answer);
-        address nobody = on.server.at();
+        pool_fixture pool_client(reply_at_once);
+        address closed_address = pool_client.server.at();
         {
             // A port on which nothing listens, since its acceptor is closed at the end of this block.
-            tcp::acceptor taken(on.io, {net::ip::make_address("127.0.0.1"), 0});
-            nobody.port = taken.local_endpoint().port();
+            tcp::acceptor taken(pool_client.io, {net::ip::make_address("127.0.0.1"), 0});
+            closed_address.port = taken.local_endpoint().port();
         }
-        connection_pool alone(net::make_strand(on.io), nobody, on.counted);
+        connection_pool refused_pool(net::make_strand(pool_client.io), closed_address, pool_client.counted);
         http_exchange wanted;
         wanted.method = "GET";
         wanted.target = "/";
         wanted.patience = duration::from_ms(1000);
-        alone.send(std::move(wanted),
-                   [&](http_exchange_result result)
-                   {
-                       on.results.push_back(std::move(result));
-                   });
-        on.await(1);
-        CHECK(on.results[0].end == exchange_end::unreachable);
-        CHECK(alone.connections() == 0);
+        refused_pool.send(std::move(wanted),
+                          [&](http_exchange_result result)
+                          {
+                              pool_client.results.push_back(std::move(result));
+                          });
+        pool_client.wait_for_results(1);
+        CHECK(pool_client.results[0].end == exchange_end::unreachable);
+        CHECK(refused_pool.connections() == 0);
     }
 }
