--- a/tests/src/unit-platform.cpp
+++ b/tests/src/unit-platform.cpp
@@ -43,13 +43,13 @@
 
 } // namespace
 
-TEST_CASE("the platform's configuration becomes the product's and comes back as it was sent", "[platform]")
+TEST_CASE("the platform's configuration is converted to the product's and back without loss", "[platform]")
 {
     catalog_state state;
     REQUIRE(put(state, example()).status == change_status::accepted);
     CHECK(platform::write_configuration(state.current()) == example());
 
-    SECTION("its services are selected by label from the backend servers that registered")
+    SECTION("placement assigns registered backend servers to services by label")
     {
         configuration value = state.current();
         registration said;
@@ -63,7 +63,8 @@
         CHECK(placed.services.at(service_name("s1"))->shards.at(0).at(0).connection_limit == 26);
         CHECK(placed.services.at(service_name("s2"))->shards.at(0).empty());
     }
-    SECTION("the highest version wins; an equal or lower one is acknowledged and changes nothing")
+    SECTION(
+        "a higher version replaces the configuration; an equal or lower one is acknowledged without effect")
     {
         json other = example();
         other["routes"].erase(0);
@@ -76,50 +77,50 @@
         CHECK(platform::write_configuration(state.current()) == other);
         CHECK(put(state, example()).status == change_status::superseded);
     }
-    SECTION("it survives a snapshot")
+    SECTION("the configuration is restored from a snapshot")
     {
         const catalog_state again = catalog_state::deserialize(state.serialize());
         CHECK(platform::write_configuration(again.current()) == example());
     }
 }
 
-TEST_CASE("an invalid configuration of the platform's is refused and changes nothing", "[platform]")
+TEST_CASE("an invalid platform configuration is refused and changes nothing", "[platform]")
 {
     catalog_state state;
     json bad = example();
-    SECTION("unknown service")
+    SECTION("a route names an unknown service")
     {
         bad["routes"][0]["fanoutServices"][1] = "nowhere";
     }
-    SECTION("two routes at the same host and prefix")
+    SECTION("two routes have the same host and prefix")
     {
         bad["routes"][1]["pathPrefix"] = "/a/";
     }
-    SECTION("weights that add up to zero")
+    SECTION("the weights of a traffic split add up to zero")
     {
         bad["routes"][2]["trafficSplit"] = {{{"service", "s1"}, {"weight", 0}}};
     }
-    SECTION("a time-out of zero")
+    SECTION("the time-out of a route is zero")
     {
         bad["routes"][0]["timeoutMs"] = 0;
     }
-    SECTION("no target")
+    SECTION("a route has no target")
     {
         bad["routes"][1].erase("service");
     }
-    SECTION("a name of the wrong type")
+    SECTION("a service name has the wrong type")
     {
         bad["services"][0]["name"] = 3;
     }
-    SECTION("routes of the wrong type")
+    SECTION("the list of routes has the wrong type")
     {
         bad["routes"] = 3;
     }
-    SECTION("routes left out")
+    SECTION("the list of routes is missing")
     {
         bad.erase("routes");
     }
-    SECTION("no version")
+    SECTION("the version is missing")
     {
         bad.erase("version");
     }
@@ -129,7 +130,7 @@
     CHECK(state.revision() == 0);
 }
 
-TEST_CASE("a configuration cut short is refused", "[platform]")
+TEST_CASE("a truncated configuration document is refused", "[platform]")
 {
     const std::string text = example().dump();
     findings found;
