--- a/tests/src/unit-platform.cpp
+++ b/tests/src/unit-platform.cpp
@@ -30,15 +30,15 @@
         "limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000}})");
 }
 
-change_result put(catalog_state& state, const json& document)
+change_result apply_document(catalog_state& state, const json& document)
 {
     findings found;
-    const change wanted = platform::read_configuration(document.dump(), found);
+    const change requested_change = platform::read_configuration(document.dump(), found);
     if (found.has_errors())
     {
         return {change_status::invalid, state.revision(), {}, found};
     }
-    return state.apply(wanted);
+    return state.apply(requested_change);
 }
 
 } // namespace
@@ -46,18 +46,19 @@
 TEST_CASE("the platform's configuration is converted to the product's and back without loss", "[platform]")
 {
     catalog_state state;
-    REQUIRE(put(state, example()).status == change_status::accepted);
+    REQUIRE(apply_document(state, example()).status == change_status::accepted);
     CHECK(platform::write_configuration(state.current()) == example());
 
     SECTION("placement assigns registered backend servers to services by label")
     {
         configuration value = state.current();
-        registration said;
-        said.id = backend_server_name("i-1");
-        said.service = service_name("s1");
-        said.address = "10.0.0.1:80";
-        said.slots = 4;
-        value.backend_servers.emplace(said.id, to_backend_server(said, value.services.at(said.service)));
+        registration registered;
+        registered.id = backend_server_name("i-1");
+        registered.service = service_name("s1");
+        registered.address = "10.0.0.1:80";
+        registered.slots = 4;
+        value.backend_servers.emplace(registered.id,
+                                      to_backend_server(registered, value.services.at(registered.service)));
         const placement placed = place(1, value);
         CHECK(placed.services.at(service_name("s1"))->shards.at(0).size() == 1);
         CHECK(placed.services.at(service_name("s1"))->shards.at(0).at(0).connection_limit == 26);
@@ -66,65 +67,65 @@
     SECTION(
         "a higher version replaces the configuration; an equal or lower one is acknowledged without effect")
     {
-        json other = example();
-        other["routes"].erase(0);
-        CHECK(put(state, other).status == change_status::superseded);
-        other["version"] = 6;
-        CHECK(put(state, other).status == change_status::superseded);
+        json changed_document = example();
+        changed_document["routes"].erase(0);
+        CHECK(apply_document(state, changed_document).status == change_status::superseded);
+        changed_document["version"] = 6;
+        CHECK(apply_document(state, changed_document).status == change_status::superseded);
         CHECK(platform::write_configuration(state.current()) == example());
-        other["version"] = 9;
-        CHECK(put(state, other).status == change_status::accepted);
-        CHECK(platform::write_configuration(state.current()) == other);
-        CHECK(put(state, example()).status == change_status::superseded);
+        changed_document["version"] = 9;
+        CHECK(apply_document(state, changed_document).status == change_status::accepted);
+        CHECK(platform::write_configuration(state.current()) == changed_document);
+        CHECK(apply_document(state, example()).status == change_status::superseded);
     }
     SECTION("the configuration is restored from a snapshot")
     {
-        const catalog_state again = catalog_state::deserialize(state.serialize());
-        CHECK(platform::write_configuration(again.current()) == example());
+        const catalog_state restored = catalog_state::deserialize(state.serialize());
+        CHECK(platform::write_configuration(restored.current()) == example());
     }
 }
 
 TEST_CASE("an invalid platform configuration is refused and changes nothing", "[platform]")
 {
     catalog_state state;
-    json bad = example();
+    json invalid_document = example();
     SECTION("a route names an unknown service")
     {
-        bad["routes"][0]["fanoutServices"][1] = "nowhere";
+        invalid_document["routes"][0]["fanoutServices"][1] = "nowhere";
     }
     SECTION("two routes have the same host and prefix")
     {
-        bad["routes"][1]["pathPrefix"] = "/a/";
+        invalid_document["routes"][1]["pathPrefix"] = "/a/";
     }
     SECTION("the weights of a traffic split add up to zero")
     {
-        bad["routes"][2]["trafficSplit"] = {{{"service", "s1"}, {"weight", 0}}};
+        invalid_document["routes"][2]["trafficSplit"] = {{{"service", "s1"}, {"weight", 0}}};
     }
     SECTION("the time-out of a route is zero")
     {
-        bad["routes"][0]["timeoutMs"] = 0;
+        invalid_document["routes"][0]["timeoutMs"] = 0;
     }
     SECTION("a route has no target")
     {
-        bad["routes"][1].erase("service");
+        invalid_document["routes"][1].erase("service");
     }
     SECTION("a service name has the wrong type")
     {
-        bad["services"][0]["name"] = 3;
+        invalid_document["services"][0]["name"] = 3;
     }
     SECTION("the list of routes has the wrong type")
     {
-        bad["routes"] = 3;
+        invalid_document["routes"] = 3;
     }
     SECTION("the list of routes is missing")
     {
-        bad.erase("routes");
+        invalid_document.erase("routes");
     }
     SECTION("the version is missing")
     {
-        bad.erase("version");
+        invalid_document.erase("version");
     }
-    const change_result result = put(state, bad);
+    const change_result result = apply_document(state, invalid_document);
     CHECK(result.status == change_status::invalid);
     CHECK(result.found.has_errors());
     CHECK(state.revision() == 0);
