--- a/src/shell/connection_pool.cpp
+++ b/src/shell/connection_pool.cpp
@@ -66,7 +66,8 @@
             connection_ptr reused = std::move(idle.back());
             idle.pop_back();
             const time_point now = clock.now();
-            if (now < reused->reusable_until && now - reused->rests_since <= most_rest && reused->is_quiet())
+            if (now < reused->reusable_until && now - reused->idle_since <= most_rest &&
+                reused->is_open_and_idle())
             {
                 return reused;
             }
@@ -108,7 +109,7 @@
             drop(used);
             return;
         }
-        used->rests_since = clock.now();
+        used->idle_since = clock.now();
         idle.push_back(std::move(used));
         close_surplus();
     }
@@ -117,7 +118,7 @@
     void close_surplus()
     {
         const auto kept = static_cast<std::size_t>(std::max(warm, 1));
-        while (idle.size() > kept && clock.now() - idle.front()->rests_since > surplus_rest)
+        while (idle.size() > kept && clock.now() - idle.front()->idle_since > surplus_rest)
         {
             drop(idle.front());
             idle.erase(idle.begin());
--- a/src/shell/http_connection.cpp
+++ b/src/shell/http_connection.cpp
@@ -17,10 +17,10 @@
 {
 
 /// A connection rests for this share of what the peer allows, at most: its close may be on its way.
-constexpr double rest_share = 0.8;
+constexpr double idle_time_share = 0.8;
 
 /// @return when a connection that this reply came on must no longer be used, by its `Keep-Alive: timeout=N`
-time_point kept_until(const http_fields& headers, time_point now)
+time_point peer_idle_deadline(const http_fields& headers, time_point now)
 {
     constexpr std::string_view key = "timeout=";
     const std::string* keep_alive = headers.find("Keep-Alive");
@@ -35,7 +35,7 @@
     {
         return time_point::never();
     }
-    return now + duration::from_ms(1000.0 * seconds * rest_share);
+    return now + duration::from_ms(1000.0 * seconds * idle_time_share);
 }
 
 } // namespace
@@ -44,7 +44,7 @@
 {
 }
 
-bool http_connection::is_quiet()
+bool http_connection::is_open_and_idle()
 {
     char byte = 0;
     const auto count = ::recv(m_socket.native_handle(), &byte, sizeof byte, MSG_PEEK | MSG_DONTWAIT);
@@ -54,7 +54,7 @@
 void http_connection::connect(const tcp::endpoint& at, duration patience, connected done)
 {
     m_connected = std::move(done);
-    watch(patience);
+    set_deadline(patience);
     m_socket.async_connect(at,
                            [self = shared_from_this()](const boost::system::error_code& failed)
                            {
@@ -71,14 +71,14 @@
 
 void http_connection::exchange(http_exchange wanted, completion done)
 {
-    m_bytes = request_bytes(wanted);
+    m_bytes = serialize_request(wanted);
     m_sent = 0;
-    m_heard = false;
+    m_reply_started = false;
     m_wanted = std::move(wanted);
     m_result = {};
     m_done = std::move(done);
     m_reader.begin();
-    watch(m_wanted.patience);
+    set_deadline(m_wanted.patience);
     write();
 }
 
@@ -146,27 +146,27 @@
         return;
     }
     const bool ended = failed == net::error::eof;
-    if (failed && (!ended || !m_heard))
+    if (failed && (!ended || !m_reply_started))
     {
         const bool hung_up = ended || failed == net::error::connection_reset;
-        close(hung_up && !m_heard ? exchange_end::hung_up : exchange_end::cut);
+        close(hung_up && !m_reply_started ? exchange_end::hung_up : exchange_end::cut);
         return;
     }
-    m_heard = true;
-    read_on(failed ? m_reader.ended() : m_reader.arrived(bytes));
+    m_reply_started = true;
+    on_reader_state(failed ? m_reader.ended() : m_reader.arrived(bytes));
 }
 
-void http_connection::read_on(reply_reader::state found)
+void http_connection::on_reader_state(reply_reader::state found)
 {
     switch (found)
     {
-    case reply_reader::state::wants_more:
+    case reply_reader::state::needs_more:
         await_reply();
         return;
     case reply_reader::state::malformed:
         close();
         return;
-    case reply_reader::state::whole:
+    case reply_reader::state::complete:
         finish_reply();
         return;
     }
@@ -184,7 +184,7 @@
         finish(exchange_end::foreign, false);
         return;
     }
-    reusable_until = kept_until(m_result.headers, m_clock.now());
+    reusable_until = peer_idle_deadline(m_result.headers, m_clock.now());
     finish(exchange_end::replied, m_reader.is_reusable());
 }
 
@@ -203,18 +203,18 @@
 
 /// Most exchanges end long before they are given up, and the next one begins. So the timer isn't set anew for
 /// each: it looks when the first one would be, and then goes on to what is under way.
-void http_connection::watch(duration patience)
+void http_connection::set_deadline(duration patience)
 {
     m_deadline = m_clock.now() + patience;
-    if (m_deadline < m_looks_at)
+    if (m_deadline < m_timer_due)
     {
-        wait_for(m_deadline);
+        start_timer(m_deadline);
     }
 }
 
-void http_connection::wait_for(time_point due)
+void http_connection::start_timer(time_point due)
 {
-    m_looks_at = due;
+    m_timer_due = due;
     m_timer.expires_after(std::chrono::microseconds((due - m_clock.now()).us()));
     m_timer.async_wait(
         [weak = weak_from_this()](const boost::system::error_code& stopped)
@@ -222,14 +222,14 @@
             const auto self = weak.lock();
             if (self && !stopped)
             {
-                self->on_due();
+                self->on_timer_due();
             }
         });
 }
 
-void http_connection::on_due()
+void http_connection::on_timer_due()
 {
-    m_looks_at = time_point::never();
+    m_timer_due = time_point::never();
     if (m_deadline == time_point::never())
     {
         return;
@@ -239,7 +239,7 @@
         close();
         return;
     }
-    wait_for(m_deadline);
+    start_timer(m_deadline);
 }
 
 } // namespace flaxtiller::shell
--- a/src/shell/http_connection.hpp
+++ b/src/shell/http_connection.hpp
@@ -50,10 +50,10 @@
 
     /// @return whether it stands and holds no unread bytes: neither closed by the peer while it was idle, nor
     /// with a reply that nobody read
-    bool is_quiet();
+    bool is_open_and_idle();
 
     /// When it was used last, and until when the peer keeps it.
-    time_point rests_since{};
+    time_point idle_since{};
     time_point reusable_until = time_point::never();
 
   private:
@@ -64,12 +64,12 @@
     void write();
     void await_reply();
     void read();
-    void read_on(reply_reader::state found);
+    void on_reader_state(reply_reader::state found);
     void finish_reply();
     void finish(exchange_end end, bool reusable);
-    void watch(duration patience);
-    void wait_for(time_point due);
-    void on_due();
+    void set_deadline(duration patience);
+    void start_timer(time_point due);
+    void on_timer_due();
 
     socket m_socket;
     timer m_timer;
@@ -82,10 +82,10 @@
     std::string m_bytes;
     std::size_t m_sent = 0;
     /// Whether any of the reply came.
-    bool m_heard = false;
+    bool m_reply_started = false;
     /// When what is under way is given up, and when the timer next looks; never while it doesn't.
     time_point m_deadline = time_point::never();
-    time_point m_looks_at = time_point::never();
+    time_point m_timer_due = time_point::never();
 };
 
 } // namespace flaxtiller::shell
--- a/src/shell/http_fields.cpp
+++ b/src/shell/http_fields.cpp
@@ -20,7 +20,7 @@
 }
 
 /// @return whether @a list, comma-separated, names @a name
-bool lists(std::string_view list, std::string_view name)
+bool list_contains(std::string_view list, std::string_view name)
 {
     while (!list.empty())
     {
@@ -38,7 +38,7 @@
     return false;
 }
 
-constexpr std::array<std::string_view, 10> connection_fields{
+constexpr std::array<std::string_view, 10> hop_by_hop_fields{
     "Connection", "Keep-Alive",        "Proxy-Connection", "TE",     "Trailer",
     "Upgrade",    "Transfer-Encoding", "Content-Length",   "Expect", "Proxy-Authenticate"};
 
@@ -88,12 +88,12 @@
     header_list kept;
     for (const auto& [name, value] : m_items)
     {
-        const bool one_hop = std::any_of(connection_fields.begin(), connection_fields.end(),
-                                         [&](std::string_view known)
-                                         {
-                                             return same_name(known, name);
-                                         });
-        if (!one_hop && !lists(connection, name))
+        const bool is_hop_by_hop = std::any_of(hop_by_hop_fields.begin(), hop_by_hop_fields.end(),
+                                               [&](std::string_view known)
+                                               {
+                                                   return same_name(known, name);
+                                               });
+        if (!is_hop_by_hop && !list_contains(connection, name))
         {
             kept.emplace_back(name, value);
         }
--- a/src/shell/http_server.cpp
+++ b/src/shell/http_server.cpp
@@ -54,15 +54,15 @@
 };
 
 /// The time limit of reading one request.
-struct read_limit
+struct read_timeout
 {
-    explicit read_limit(const net::any_io_executor& executor) : timer(executor)
+    explicit read_timeout(const net::any_io_executor& executor) : timer(executor)
     {
     }
 
     net::steady_timer timer;
-    bool late = false;
-    bool over = false;
+    bool timed_out = false;
+    bool finished = false;
 };
 
 int status_of(const beast::error_code& failed)
@@ -113,13 +113,13 @@
 struct http_server::state : std::enable_shared_from_this<http_server::state>
 {
     state(net::io_context& context, limits wanted, handler handler_of)
-        : io(context), in_force(std::make_shared<const limits>(wanted)), handle(std::move(handler_of)),
+        : io(context), active_limits(std::make_shared<const limits>(wanted)), handle(std::move(handler_of)),
           acceptor(net::make_strand(context))
     {
     }
 
     net::io_context& io;
-    rcu_cell<limits> in_force;
+    rcu_cell<limits> active_limits;
     handler handle;
     tcp::acceptor acceptor;
     std::atomic<bool> draining{false};
@@ -140,7 +140,7 @@
             {
                 co_return;
             }
-            const std::size_t most = in_force.load()->most_connections;
+            const std::size_t most = active_limits.load()->most_connections;
             const bool full = most > 0 && connections >= most;
             refused += full && !failed ? 1 : 0;
             if (failed || full)
@@ -174,7 +174,7 @@
     net::awaitable<void> serve(beast::tcp_stream& stream)
     {
         stream.socket().set_option(tcp::no_delay(true));
-        if (const int cost_ms = in_force.load()->new_connection_cost_ms; cost_ms > 0)
+        if (const int cost_ms = active_limits.load()->new_connection_cost_ms; cost_ms > 0)
         {
             net::steady_timer cost(stream.get_executor(), std::chrono::milliseconds(cost_ms));
             co_await cost.async_wait(net::use_awaitable);
@@ -183,7 +183,7 @@
         bool keep_alive = true;
         while (keep_alive && !draining)
         {
-            const auto bounds = in_force.load();
+            const auto bounds = active_limits.load();
             if (!co_await await_request(stream, buffer, *bounds) || draining)
             {
                 co_return;
@@ -227,23 +227,23 @@
                                                           const limits& bounds)
     {
         stream.expires_never();
-        auto limit = std::make_shared<read_limit>(stream.get_executor());
+        auto limit = std::make_shared<read_timeout>(stream.get_executor());
         limit->timer.expires_after(std::chrono::milliseconds(bounds.request_timeout_ms));
         limit->timer.async_wait(
             [limit, &stream](const beast::error_code& stopped)
             {
                 // Where the request is in already, the stream may be gone.
-                if (!stopped && !limit->over)
+                if (!stopped && !limit->finished)
                 {
-                    limit->late = true;
+                    limit->timed_out = true;
                     stream.cancel();
                 }
             });
         beast::error_code failed;
         co_await http::async_read(stream, buffer, incoming, net::redirect_error(net::use_awaitable, failed));
-        limit->over = true;
+        limit->finished = true;
         limit->timer.cancel();
-        co_return limit->late ? beast::error_code(beast::error::timeout) : failed;
+        co_return limit->timed_out ? beast::error_code(beast::error::timeout) : failed;
     }
 
     /// Says what was wrong with a request that couldn't be read; where the peer went away, nothing.
@@ -267,8 +267,8 @@
 
     /// Tells the handler if the caller closes its connection before the reply. Bytes that come instead are
     /// the caller's next request; it is no longer watched then.
-    static void watch(const std::shared_ptr<pending_reply>& pending, beast::tcp_stream& stream,
-                      std::shared_ptr<std::function<void()>> on_gone)
+    static void watch_for_disconnect(const std::shared_ptr<pending_reply>& pending, beast::tcp_stream& stream,
+                                     std::shared_ptr<std::function<void()>> on_gone)
     {
         stream.socket().async_wait(
             tcp::socket::wait_read,
@@ -287,7 +287,7 @@
                 }
                 (*on_gone)();
                 pending->given = true;
-                pending->reply.cut = true;
+                pending->reply.close_connection = true;
                 pending->ready.cancel();
             });
     }
@@ -318,7 +318,7 @@
         const bool watched = *request.on_gone && buffer.size() == 0;
         if (watched)
         {
-            watch(pending, stream, request.on_gone);
+            watch_for_disconnect(pending, stream, request.on_gone);
         }
         while (!pending->given)
         {
@@ -330,8 +330,8 @@
         {
             stream.socket().cancel(failed);
         }
-        const bool keep_alive = wanted_alive && !draining && !closing && !pending->reply.cut;
-        if (!pending->reply.cut)
+        const bool keep_alive = wanted_alive && !draining && !closing && !pending->reply.close_connection;
+        if (!pending->reply.close_connection)
         {
             response reply = to_response(pending->reply, keep_alive);
             stream.expires_after(std::chrono::milliseconds(bounds.request_timeout_ms));
@@ -386,9 +386,9 @@
     m_state->closing = true;
 }
 
-void http_server::bound(const limits& bounds)
+void http_server::set_limits(const limits& bounds)
 {
-    m_state->in_force.store(std::make_shared<const limits>(bounds));
+    m_state->active_limits.store(std::make_shared<const limits>(bounds));
 }
 
 std::size_t http_server::in_flight() const noexcept
--- a/src/shell/http_server.hpp
+++ b/src/shell/http_server.hpp
@@ -35,7 +35,7 @@
     std::string content_type = "application/json";
     http_fields headers;
     /// Close the connection without a reply.
-    bool cut = false;
+    bool close_connection = false;
 };
 
 /// @brief An HTTP/1.1 server whose handler may reply later, from any thread.
@@ -73,7 +73,7 @@
     void close_after_reply();
 
     /// @brief Puts other bounds in force, from each connection's next request on.
-    void bound(const limits& bounds);
+    void set_limits(const limits& bounds);
 
     /// @return requests that aren't replied to yet
     std::size_t in_flight() const noexcept;
--- a/src/shell/http_wire.cpp
+++ b/src/shell/http_wire.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t read_bytes = 4096;
 
 /// A request without a body says so where its method usually has one (RFC 9110, section 8.6).
-bool tells_length(const http_exchange& wanted)
+bool needs_content_length(const http_exchange& wanted)
 {
     return !wanted.body.empty() || wanted.method == "POST" || wanted.method == "PUT" ||
            wanted.method == "PATCH";
@@ -37,7 +37,7 @@
 
 } // namespace
 
-std::string request_bytes(const http_exchange& wanted)
+std::string serialize_request(const http_exchange& wanted)
 {
     constexpr std::size_t fixed_bytes = 64;
     std::size_t size = wanted.method.size() + wanted.target.size() + wanted.body.size() + fixed_bytes;
@@ -55,7 +55,7 @@
     {
         append_field(text, name, value);
     }
-    if (tells_length(wanted))
+    if (needs_content_length(wanted))
     {
         append_field(text, "Content-Length", std::to_string(wanted.body.size()));
     }
@@ -105,14 +105,14 @@
         buffer.consume(used);
         if (failed == http::error::need_more)
         {
-            return state::wants_more;
+            return state::needs_more;
         }
         if (failed)
         {
             return state::malformed;
         }
     }
-    return parser->is_done() ? state::whole : state::wants_more;
+    return parser->is_done() ? state::complete : state::needs_more;
 }
 
 reply_reader::state reply_reader::ended()
@@ -123,7 +123,7 @@
     }
     beast::error_code failed;
     m_implementation->parser->put_eof(failed);
-    return !failed && m_implementation->parser->is_done() ? state::whole : state::malformed;
+    return !failed && m_implementation->parser->is_done() ? state::complete : state::malformed;
 }
 
 void reply_reader::take(http_exchange_result& into)
--- a/src/shell/routed_front.cpp
+++ b/src/shell/routed_front.cpp
@@ -91,7 +91,7 @@
 
 void routed_front::update(const routing_view& view, const request_limits& limits)
 {
-    m_server.bound(limits_of(limits));
+    m_server.set_limits(limits_of(limits));
     net::dispatch(m_strand,
                   [this, view]
                   {
--- a/tests/src/unit-http-wire.cpp
+++ b/tests/src/unit-http-wire.cpp
@@ -12,8 +12,8 @@
 /// Gives the reader a text in pieces of this size.
 reply_reader::state feed(reply_reader& reader, const std::string& text, std::size_t piece)
 {
-    reply_reader::state found = reply_reader::state::wants_more;
-    for (std::size_t at = 0; at < text.size() && found == reply_reader::state::wants_more;)
+    reply_reader::state found = reply_reader::state::needs_more;
+    for (std::size_t at = 0; at < text.size() && found == reply_reader::state::needs_more;)
     {
         const auto space = reader.space();
         const std::size_t count = std::min({piece, text.size() - at, space.size()});
@@ -40,19 +40,19 @@
 
     SECTION("without a body")
     {
-        CHECK(request_bytes(wanted) == "GET /a?b=c HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\n\r\n");
+        CHECK(serialize_request(wanted) == "GET /a?b=c HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\n\r\n");
     }
     SECTION("with one, and its length")
     {
         wanted.method = "POST";
         wanted.body = "hello";
-        const std::string text = request_bytes(wanted);
+        const std::string text = serialize_request(wanted);
         CHECK(text.find("\r\nContent-Length: 5\r\n\r\nhello") != std::string::npos);
     }
     SECTION("an empty body has a length where the method usually has one")
     {
         wanted.method = "POST";
-        CHECK(request_bytes(wanted).find("\r\nContent-Length: 0\r\n\r\n") != std::string::npos);
+        CHECK(serialize_request(wanted).find("\r\nContent-Length: 0\r\n\r\n") != std::string::npos);
     }
 }
 
@@ -68,7 +68,7 @@
             for (std::size_t piece = 1; piece <= text.size(); ++piece)
             {
                 reader.begin();
-                REQUIRE(feed(reader, text, piece) == reply_reader::state::whole);
+                REQUIRE(feed(reader, text, piece) == reply_reader::state::complete);
                 http_exchange_result result;
                 reader.take(result);
                 CHECK(result.status == 200);
@@ -85,7 +85,7 @@
             for (std::size_t end = 1; end < text.size(); ++end)
             {
                 reader.begin();
-                CHECK(feed(reader, text.substr(0, end), end) == reply_reader::state::wants_more);
+                CHECK(feed(reader, text.substr(0, end), end) == reply_reader::state::needs_more);
                 CHECK(reader.ended() == reply_reader::state::malformed);
             }
         }
@@ -96,8 +96,8 @@
     }
     SECTION("without a length are whole with the connection's end, which is then used up")
     {
-        REQUIRE(feed(reader, "HTTP/1.1 200 OK\r\n\r\nhello", 7) == reply_reader::state::wants_more);
-        REQUIRE(reader.ended() == reply_reader::state::whole);
+        REQUIRE(feed(reader, "HTTP/1.1 200 OK\r\n\r\nhello", 7) == reply_reader::state::needs_more);
+        REQUIRE(reader.ended() == reply_reader::state::complete);
         http_exchange_result result;
         reader.take(result);
         CHECK(result.body == "hello");
@@ -106,17 +106,17 @@
     SECTION("that say close, or are followed by more, use up the connection")
     {
         REQUIRE(feed(reader, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", 200) ==
-                reply_reader::state::whole);
+                reply_reader::state::complete);
         CHECK_FALSE(reader.is_reusable());
         reader.begin();
-        REQUIRE(feed(reader, with_length + "HTTP/1.1 200", 200) == reply_reader::state::whole);
+        REQUIRE(feed(reader, with_length + "HTTP/1.1 200", 200) == reply_reader::state::complete);
         CHECK_FALSE(reader.is_reusable());
     }
     SECTION("may be of any size")
     {
         const std::string body(100000, 'x');
         REQUIRE(feed(reader, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + body, 4096) ==
-                reply_reader::state::whole);
+                reply_reader::state::complete);
         http_exchange_result result;
         reader.take(result);
         CHECK(result.body == body);
