--- a/src/shell/http_connection.cpp
+++ b/src/shell/http_connection.cpp
@@ -69,16 +69,16 @@
                            });
 }
 
-void http_connection::exchange(http_exchange wanted, completion done)
+void http_connection::exchange(http_exchange request, completion done)
 {
-    m_bytes = serialize_request(wanted);
+    m_bytes = serialize_request(request);
     m_sent = 0;
     m_reply_started = false;
-    m_wanted = std::move(wanted);
+    m_request = std::move(request);
     m_result = {};
     m_done = std::move(done);
     m_reader.begin();
-    set_deadline(m_wanted.patience);
+    set_deadline(m_request.patience);
     write();
 }
 
@@ -175,8 +175,8 @@
 void http_connection::finish_reply()
 {
     m_reader.take(m_result);
-    const std::string* echoed = m_result.headers.find(m_wanted.id_header);
-    if (!m_wanted.id_header.empty() && (echoed == nullptr || *echoed != m_wanted.id))
+    const std::string* echoed = m_result.headers.find(m_request.id_header);
+    if (!m_request.id_header.empty() && (echoed == nullptr || *echoed != m_request.id))
     {
         // Nothing on this connection can be trusted any more, and nothing that came is told.
         m_result.headers = {};
--- a/src/shell/http_connection.hpp
+++ b/src/shell/http_connection.hpp
@@ -43,7 +43,7 @@
 
     /// @brief Sends a request and awaits its reply. A foreign one, or one that isn't whole in time, ends the
     /// connection, too.
-    void exchange(http_exchange wanted, completion done);
+    void exchange(http_exchange request, completion done);
 
     /// @brief Ends what is under way.
     void close(exchange_end as = exchange_end::cut);
@@ -75,7 +75,7 @@
     timer m_timer;
     monotonic_clock m_clock;
     reply_reader m_reader;
-    http_exchange m_wanted;
+    http_exchange m_request;
     http_exchange_result m_result;
     completion m_done;
     connected m_connected;
--- a/src/shell/http_server.cpp
+++ b/src/shell/http_server.cpp
@@ -49,7 +49,7 @@
     }
 
     net::steady_timer ready;
-    bool given = false;
+    bool is_set = false;
     http_reply reply;
 };
 
@@ -250,10 +250,10 @@
     net::awaitable<void> refuse(beast::tcp_stream& stream, beast::error_code failed, const limits& bounds)
     {
         const bool slow = failed == beast::error::timeout;
-        const bool unreadable =
+        const bool is_malformed =
             failed.category() == http::make_error_code(http::error::bad_target).category() &&
             failed != http::error::end_of_stream && failed != http::error::partial_message;
-        if (!slow && !unreadable)
+        if (!slow && !is_malformed)
         {
             co_return;
         }
@@ -274,7 +274,7 @@
             tcp::socket::wait_read,
             [pending, &stream, on_gone = std::move(on_gone)](const beast::error_code& stopped)
             {
-                if (stopped || pending->given)
+                if (stopped || pending->is_set)
                 {
                     return;
                 }
@@ -286,7 +286,7 @@
                     return;
                 }
                 (*on_gone)();
-                pending->given = true;
+                pending->is_set = true;
                 pending->reply.close_connection = true;
                 pending->ready.cancel();
             });
@@ -296,7 +296,7 @@
                                 http::request<http::string_body> message, const limits& bounds)
     {
         ++in_flight;
-        const bool wanted_alive = message.keep_alive();
+        const bool wants_keep_alive = message.keep_alive();
         auto pending = std::make_shared<pending_reply>(stream.get_executor());
         const auto executor = stream.get_executor();
         http_request request = to_request(message);
@@ -307,9 +307,9 @@
                    net::post(executor,
                              [pending, reply = std::move(reply)]() mutable
                              {
-                                 if (!pending->given)
+                                 if (!pending->is_set)
                                  {
-                                     pending->given = true;
+                                     pending->is_set = true;
                                      pending->reply = std::move(reply);
                                      pending->ready.cancel();
                                  }
@@ -320,7 +320,7 @@
         {
             watch_for_disconnect(pending, stream, request.on_gone);
         }
-        while (!pending->given)
+        while (!pending->is_set)
         {
             beast::error_code woken;
             co_await pending->ready.async_wait(net::redirect_error(net::use_awaitable, woken));
@@ -330,7 +330,7 @@
         {
             stream.socket().cancel(failed);
         }
-        const bool keep_alive = wanted_alive && !draining && !closing && !pending->reply.close_connection;
+        const bool keep_alive = wants_keep_alive && !draining && !closing && !pending->reply.close_connection;
         if (!pending->reply.close_connection)
         {
             response reply = to_response(pending->reply, keep_alive);
--- a/src/shell/http_wire.cpp
+++ b/src/shell/http_wire.cpp
@@ -21,10 +21,10 @@
 constexpr std::size_t read_bytes = 4096;
 
 /// A request without a body says so where its method usually has one (RFC 9110, section 8.6).
-bool needs_content_length(const http_exchange& wanted)
+bool needs_content_length(const http_exchange& request)
 {
-    return !wanted.body.empty() || wanted.method == "POST" || wanted.method == "PUT" ||
-           wanted.method == "PATCH";
+    return !request.body.empty() || request.method == "POST" || request.method == "PUT" ||
+           request.method == "PATCH";
 }
 
 void append_field(std::string& text, std::string_view name, std::string_view value)
@@ -37,30 +37,30 @@
 
 } // namespace
 
-std::string serialize_request(const http_exchange& wanted)
+std::string serialize_request(const http_exchange& request)
 {
     constexpr std::size_t fixed_bytes = 64;
-    std::size_t size = wanted.method.size() + wanted.target.size() + wanted.body.size() + fixed_bytes;
-    for (const auto& [name, value] : wanted.headers.items())
+    std::size_t size = request.method.size() + request.target.size() + request.body.size() + fixed_bytes;
+    for (const auto& [name, value] : request.headers.items())
     {
         size += name.size() + value.size() + 4;
     }
     std::string text;
     text.reserve(size);
-    text += wanted.method;
+    text += request.method;
     text += ' ';
-    text += wanted.target;
+    text += request.target;
     text += " HTTP/1.1\r\n";
-    for (const auto& [name, value] : wanted.headers.items())
+    for (const auto& [name, value] : request.headers.items())
     {
         append_field(text, name, value);
     }
-    if (needs_content_length(wanted))
+    if (needs_content_length(request))
     {
-        append_field(text, "Content-Length", std::to_string(wanted.body.size()));
+        append_field(text, "Content-Length", std::to_string(request.body.size()));
     }
     text += "\r\n";
-    text += wanted.body;
+    text += request.body;
     return text;
 }
 
--- a/src/shell/http_wire.hpp
+++ b/src/shell/http_wire.hpp
@@ -13,7 +13,7 @@
 
 /// @return the request as it is sent, in HTTP/1.1
 /// @complexity one allocation for most requests
-std::string serialize_request(const http_exchange& wanted);
+std::string serialize_request(const http_exchange& request);
 
 /// @brief Reads the replies of one connection, one after the other, from whatever pieces arrive.
 class reply_reader
--- a/tests/src/unit-http-wire.cpp
+++ b/tests/src/unit-http-wire.cpp
@@ -32,27 +32,27 @@
 
 TEST_CASE("a request on the wire", "[http]")
 {
-    http_exchange wanted;
-    wanted.method = "GET";
-    wanted.target = "/a?b=c";
-    wanted.headers.add("Host", "h");
-    wanted.headers.add("X-Request-Id", "r");
+    http_exchange request;
+    request.method = "GET";
+    request.target = "/a?b=c";
+    request.headers.add("Host", "h");
+    request.headers.add("X-Request-Id", "r");
 
     SECTION("without a body")
     {
-        CHECK(serialize_request(wanted) == "GET /a?b=c HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\n\r\n");
+        CHECK(serialize_request(request) == "GET /a?b=c HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\n\r\n");
     }
     SECTION("with one, and its length")
     {
-        wanted.method = "POST";
-        wanted.body = "hello";
-        const std::string text = serialize_request(wanted);
+        request.method = "POST";
+        request.body = "hello";
+        const std::string text = serialize_request(request);
         CHECK(text.find("\r\nContent-Length: 5\r\n\r\nhello") != std::string::npos);
     }
     SECTION("an empty body has a length where the method usually has one")
     {
-        wanted.method = "POST";
-        CHECK(serialize_request(wanted).find("\r\nContent-Length: 0\r\n\r\n") != std::string::npos);
+        request.method = "POST";
+        CHECK(serialize_request(request).find("\r\nContent-Length: 0\r\n\r\n") != std::string::npos);
     }
 }
 
