--- a/src/shell/compression.hpp
+++ b/src/shell/compression.hpp
@@ -7,14 +7,15 @@
 namespace flaxtiller::shell
 {
 
-/// @return @a bytes as a zlib stream, by zlib's fastest level
+/// @return @a bytes compressed to a zlib stream with the fastest compression level
 std::string compress(const std::string& bytes);
 
-/// @return whether @a bytes begin like a zlib stream
+/// @return whether the first byte of @a bytes is that of a zlib stream
 bool is_compressed(const std::string& bytes) noexcept;
 
-/// @param most the size beyond which nothing is returned, so that a small message can't fill the memory
-/// @return what was compressed, or nothing if the bytes are malformed, cut off or too large
-std::optional<std::string> decompress(const std::string& bytes, std::size_t most);
+/// @brief Decompresses a zlib stream.
+/// @param max_bytes the maximum size of the result, so that a small message can't exhaust the memory
+/// @return the decompressed bytes, or nothing if the stream is malformed, truncated or too large
+std::optional<std::string> decompress(const std::string& bytes, std::size_t max_bytes);
 
 } // namespace flaxtiller::shell
--- a/src/shell/http_call.cpp
+++ b/src/shell/http_call.cpp
@@ -19,7 +19,7 @@
 namespace
 {
 
-/// Runs one call on an io_context of its own, so that every step has the same time limit.
+/// One call, which runs on its own io_context, so that a single time limit covers connect, write and read.
 class call
 {
   public:
--- a/src/shell/http_connection.cpp
+++ b/src/shell/http_connection.cpp
@@ -16,10 +16,12 @@
 namespace
 {
 
-/// A connection rests for this share of what the peer allows, at most: its close may be on its way.
+/// A connection may be idle for at most this share of the peer's idle timeout: near the end of the timeout,
+/// the close of the connection may already be in transit.
 constexpr double idle_time_share = 0.8;
 
-/// @return when a connection that this reply came on must no longer be used, by its `Keep-Alive: timeout=N`
+/// @return the time after which the connection of this reply must not be used again, according to the header
+/// `Keep-Alive: timeout=N`; `never()` without the header
 time_point peer_idle_deadline(const http_fields& headers, time_point now)
 {
     constexpr std::string_view key = "timeout=";
@@ -94,7 +96,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// an exchange
+// exchange
 // ---------------------------------------------------------------------------------------------------------
 
 void http_connection::write()
@@ -156,9 +158,9 @@
     on_reader_state(failed ? m_reader.ended() : m_reader.arrived(bytes));
 }
 
-void http_connection::on_reader_state(reply_reader::state found)
+void http_connection::on_reader_state(reply_reader::state reader_state)
 {
-    switch (found)
+    switch (reader_state)
     {
     case reply_reader::state::needs_more:
         await_reply();
@@ -178,7 +180,7 @@
     const std::string* echoed = m_result.headers.find(m_request.id_header);
     if (!m_request.id_header.empty() && (echoed == nullptr || *echoed != m_request.id))
     {
-        // Nothing on this connection can be trusted any more, and nothing that came is told.
+        // The reply belongs to another request. The connection can't be trusted, and the reply is discarded.
         m_result.headers = {};
         m_result.body.clear();
         finish(exchange_end::foreign, false);
@@ -192,17 +194,18 @@
 {
     m_deadline = time_point::never();
     m_result.end = end;
-    // The completion may begin the next exchange on this connection.
+    // The completion may start the next exchange on this connection.
     const completion done = std::exchange(m_done, {});
     done(std::exchange(m_result, {}), reusable);
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// time
+// deadlines
 // ---------------------------------------------------------------------------------------------------------
 
-/// Most exchanges end long before they are given up, and the next one begins. So the timer isn't set anew for
-/// each: it looks when the first one would be, and then goes on to what is under way.
+/// Most exchanges end long before their deadline, and the next exchange starts. Therefore the timer isn't
+/// restarted for each exchange: it expires at the deadline of the first exchange, and is then started again
+/// for the deadline of the exchange in progress.
 void http_connection::set_deadline(duration patience)
 {
     m_deadline = m_clock.now() + patience;
--- a/src/shell/http_connection.hpp
+++ b/src/shell/http_connection.hpp
@@ -19,40 +19,43 @@
 namespace flaxtiller::shell
 {
 
-/// @brief The strand on which a connection and its pool live. A type of its own, not any executor: copies and
-/// calls of type-erased ones were 11% of an entry's processor samples.
+/// @brief The strand on which a connection and its pool run. The concrete type is used instead of
+/// `any_io_executor`, since copies and calls of type-erased executors made up 11% of the CPU samples of an
+/// entry.
 using connection_strand = boost::asio::strand<boost::asio::io_context::executor_type>;
 
-/// @brief One HTTP/1.1 connection to a peer, which carries one exchange at a time. Use it on its strand only;
-/// its completions are called there.
+/// @brief A client's HTTP/1.1 connection to a peer, which carries one exchange at a time. All members must be
+/// called on the connection's strand, and completions are called on it.
 ///
-/// A send that the socket takes at once needs no turn of the event loop, a reply one turn. Whole exchanges
-/// with coroutines took 1.5 times the processor time (112 and 73 us in an entry that runs thirty shards'
-/// attempts, by `getrusage`).
+/// The connection uses callbacks and non-blocking socket calls: a write that the socket accepts at once needs
+/// no iteration of the event loop, and a reply needs one. Exchanges implemented with coroutines took 1.5
+/// times the CPU time (112 us instead of 73 us in an entry that runs the attempts of thirty shards, measured
+/// with `getrusage`).
 class http_connection : public std::enable_shared_from_this<http_connection>
 {
   public:
-    /// Told whether the connection stands.
+    /// Called with whether the connection was established.
     using connected = std::function<void(bool)>;
-    /// Told what came of an exchange, and whether the connection may carry another one.
+    /// Called with the result of an exchange, and whether the connection may carry another exchange.
     using completion = std::function<void(http_exchange_result, bool)>;
 
     explicit http_connection(const connection_strand& strand);
 
+    /// @brief Connects to the endpoint @a at, and gives up after @a patience.
     void connect(const boost::asio::ip::tcp::endpoint& at, duration patience, connected done);
 
-    /// @brief Sends a request and awaits its reply. A foreign one, or one that isn't whole in time, ends the
-    /// connection, too.
+    /// @brief Sends a request and waits for its reply. The connection isn't reusable after a reply to another
+    /// request, or after a reply that isn't complete within the time limit.
     void exchange(http_exchange request, completion done);
 
-    /// @brief Ends what is under way.
+    /// @brief Closes the socket. An exchange in progress ends with the result @a as.
     void close(exchange_end as = exchange_end::cut);
 
-    /// @return whether it stands and holds no unread bytes: neither closed by the peer while it was idle, nor
-    /// with a reply that nobody read
+    /// @return whether the connection is open and holds no unread bytes. It is false if the peer closed the
+    /// connection while it was idle, or if a reply arrived that was never read.
     bool is_open_and_idle();
 
-    /// When it was used last, and until when the peer keeps it.
+    /// The end of the last exchange, and the time until which the connection may be used again.
     time_point idle_since{};
     time_point reusable_until = time_point::never();
 
@@ -64,7 +67,7 @@
     void write();
     void await_reply();
     void read();
-    void on_reader_state(reply_reader::state found);
+    void on_reader_state(reply_reader::state reader_state);
     void finish_reply();
     void finish(exchange_end end, bool reusable);
     void set_deadline(duration patience);
@@ -81,9 +84,10 @@
     connected m_connected;
     std::string m_bytes;
     std::size_t m_sent = 0;
-    /// Whether any of the reply came.
+    /// Whether the first byte of the reply has arrived.
     bool m_reply_started = false;
-    /// When what is under way is given up, and when the timer next looks; never while it doesn't.
+    /// The deadline of the operation in progress, and the time at which the timer expires; `never()` if there
+    /// is none.
     time_point m_deadline = time_point::never();
     time_point m_timer_due = time_point::never();
 };
--- a/src/shell/http_exchange.hpp
+++ b/src/shell/http_exchange.hpp
@@ -10,21 +10,23 @@
 namespace flaxtiller::shell
 {
 
-/// @brief One request to a peer over a kept connection.
+/// @brief A request to a peer over a persistent connection.
 struct http_exchange
 {
-    /// Chosen by the user of the pool, to close it by; 0 if it is never closed.
+    /// Chosen by the user of the pool to identify the exchange when closing it; 0 if the user never closes
+    /// it.
     std::uint64_t token = 0;
     std::string method;
     std::string target;
     http_fields headers;
     std::string body;
-    /// A reply that doesn't come within this is given up.
+    /// The time limit for the complete reply.
     duration patience{};
-    /// A kept connection that has rested for longer isn't used: the peer may have forgotten it, and what is
-    /// sent then is lost.
+    /// The maximum idle time of a connection that is reused for this request. After a longer idle time the
+    /// peer may have dropped the connection, and the request would be lost.
     duration most_rest = duration::from_ms(3600000);
-    /// The header by which the peer repeats @ref id; a reply with another id is not this request's.
+    /// The header in which the peer returns @ref id; empty for no check. A reply with another id belongs to
+    /// another request.
     std::string id_header;
     std::string id;
 };
@@ -33,20 +35,20 @@
 enum class exchange_end
 {
     replied,
-    /// No connection; nothing was sent.
+    /// No connection was established, and nothing was sent.
     unreachable,
-    /// Something was sent, and no whole reply came.
+    /// A part of the request or all of it was sent, and no complete reply arrived.
     cut,
-    /// All was sent, the peer closed or reset the connection before the first byte of a reply, and takes no
-    /// new one.
+    /// The request was sent completely, the peer closed or reset the connection before the first byte of a
+    /// reply, and the peer accepts no new connection.
     hung_up,
-    /// The user of the pool closed it.
+    /// The user of the pool closed the exchange.
     closed,
-    /// Another request's reply came.
+    /// The reply to another request arrived.
     foreign,
 };
 
-/// @brief What came of an exchange.
+/// @brief The result of an exchange: how it ended and, if a reply arrived, the reply.
 struct http_exchange_result
 {
     exchange_end end = exchange_end::unreachable;
--- a/src/shell/http_fields.cpp
+++ b/src/shell/http_fields.cpp
@@ -19,7 +19,7 @@
                                               });
 }
 
-/// @return whether @a list, comma-separated, names @a name
+/// @return whether the comma-separated @a list contains @a name
 bool list_contains(std::string_view list, std::string_view name)
 {
     while (!list.empty())
--- a/src/shell/http_fields.hpp
+++ b/src/shell/http_fields.hpp
@@ -8,8 +8,8 @@
 namespace flaxtiller::shell
 {
 
-/// @brief The header fields of one HTTP message, in the order in which they came. Names are compared without
-/// regard to case; a name may stand several times.
+/// @brief The header fields of an HTTP message, in the order of the message. Names are compared
+/// case-insensitively, and several fields may have the same name.
 class http_fields
 {
   public:
@@ -19,23 +19,23 @@
     {
     }
 
-    /// @return the first value of this name, or nothing
+    /// @return the value of the first field with this name, or null
     const std::string* find(std::string_view name) const;
 
-    /// @return the first value of this name, or an empty text
+    /// @return the value of the first field with this name, or an empty string
     std::string value(std::string_view name) const;
 
-    /// @brief Adds a field at the end.
+    /// @brief Appends a field.
     void add(std::string name, std::string value);
 
-    /// @brief Takes the place of all fields of this name.
+    /// @brief Replaces all fields with this name by one field.
     void set(std::string name, std::string value);
 
-    /// @brief Removes all fields of this name.
+    /// @brief Removes all fields with this name.
     void remove(std::string_view name);
 
-    /// @return the fields but for those that concern one connection only (RFC 9110, section 7.6.1), those
-    /// that `Connection` names, and the body's framing
+    /// @return the end-to-end fields: all fields but the hop-by-hop fields (RFC 9110, section 7.6.1), the
+    /// fields that `Connection` lists, and the fields that frame the body
     header_list end_to_end() const;
 
     const header_list& items() const noexcept
--- a/src/shell/http_server.cpp
+++ b/src/shell/http_server.cpp
@@ -40,7 +40,8 @@
 
 constexpr unsigned http_version = 11;
 
-/// A reply that a handler gives, perhaps from another thread, to the coroutine that waits for it.
+/// The reply that a connection's coroutine waits for. The handler may produce the reply on another thread; it
+/// is posted to the connection's strand.
 struct pending_reply
 {
     explicit pending_reply(const net::any_io_executor& executor) : ready(executor)
@@ -53,7 +54,7 @@
     http_reply reply;
 };
 
-/// The time limit of reading one request.
+/// The time limit for reading one request.
 struct read_timeout
 {
     explicit read_timeout(const net::any_io_executor& executor) : timer(executor)
@@ -112,9 +113,9 @@
 
 struct http_server::state : std::enable_shared_from_this<http_server::state>
 {
-    state(net::io_context& context, limits wanted, handler handler_of)
-        : io(context), active_limits(std::make_shared<const limits>(wanted)), handle(std::move(handler_of)),
-          acceptor(net::make_strand(context))
+    state(net::io_context& context, limits initial, handler request_handler)
+        : io(context), active_limits(std::make_shared<const limits>(initial)),
+          handle(std::move(request_handler)), acceptor(net::make_strand(context))
     {
     }
 
@@ -145,10 +146,10 @@
             refused += full && !failed ? 1 : 0;
             if (failed || full)
             {
-                // A refused connection is closed at once; a failed accept is tried again.
+                // A connection above the limit is closed at once. A failed accept is retried.
                 continue;
             }
-            // Only this loop writes the maximum.
+            // Only this loop writes most_seen, so a load and a store suffice.
             most_seen = std::max(most_seen.load(), ++connections);
             const auto executor = socket.get_executor();
             net::co_spawn(executor, session(shared_from_this(), beast::tcp_stream(std::move(socket))),
@@ -164,7 +165,7 @@
         }
         catch (const std::exception&)
         {
-            // The peer went away; there is nobody to tell.
+            // The peer closed the connection, so the error can't be reported to it.
         }
         beast::error_code ignored;
         stream.socket().shutdown(tcp::socket::shutdown_both, ignored);
@@ -202,7 +203,8 @@
         }
     }
 
-    /// Waits for the first byte of a request. @return false if none came
+    /// Waits for the first byte of a request.
+    /// @return false if no byte arrived within the idle timeout, or the peer closed the connection
     static net::awaitable<bool> await_request(beast::tcp_stream& stream, beast::flat_buffer& buffer,
                                               const limits& bounds)
     {
@@ -220,8 +222,8 @@
         co_return !failed && count > 0;
     }
 
-    /// Reads a request within its time limit. The stream's own limit would close the connection, so that
-    /// nobody could be told.
+    /// Reads a request within its time limit. A separate timer is used because the stream's own timeout
+    /// closes the connection, and the server then can't reply with an error.
     static net::awaitable<beast::error_code> read_request(beast::tcp_stream& stream,
                                                           beast::flat_buffer& buffer, parser& incoming,
                                                           const limits& bounds)
@@ -232,7 +234,7 @@
         limit->timer.async_wait(
             [limit, &stream](const beast::error_code& stopped)
             {
-                // Where the request is in already, the stream may be gone.
+                // The stream may be destroyed already if the request was read completely.
                 if (!stopped && !limit->finished)
                 {
                     limit->timed_out = true;
@@ -246,7 +248,8 @@
         co_return limit->timed_out ? beast::error_code(beast::error::timeout) : failed;
     }
 
-    /// Says what was wrong with a request that couldn't be read; where the peer went away, nothing.
+    /// Replies with an error to a request that could not be read. No reply is sent if the peer closed the
+    /// connection.
     net::awaitable<void> refuse(beast::tcp_stream& stream, beast::error_code failed, const limits& bounds)
     {
         const bool slow = failed == beast::error::timeout;
@@ -265,8 +268,8 @@
         co_await http::async_write(stream, message, net::redirect_error(net::use_awaitable, gone));
     }
 
-    /// Tells the handler if the caller closes its connection before the reply. Bytes that come instead are
-    /// the caller's next request; it is no longer watched then.
+    /// Calls @a on_gone if the caller closes the connection before the reply. If bytes arrive instead, they
+    /// belong to the caller's next request, and the connection is no longer watched.
     static void watch_for_disconnect(const std::shared_ptr<pending_reply>& pending, beast::tcp_stream& stream,
                                      std::shared_ptr<std::function<void()>> on_gone)
     {
--- a/src/shell/http_server.hpp
+++ b/src/shell/http_server.hpp
@@ -15,19 +15,19 @@
 namespace flaxtiller::shell
 {
 
-/// @brief A request as a handler sees it.
+/// @brief An HTTP request: received by a server's handler, or sent by @ref http_call.
 struct http_request
 {
     std::string method;
     std::string target;
     std::string body;
     http_fields headers;
-    /// Of a server's handler: it may set this before it returns. Called, on the connection's strand, if the
-    /// caller goes away before the reply; a reply given after that goes nowhere.
+    /// A callback that a server's handler may set before it returns. The server calls it on the connection's
+    /// strand if the caller closes the connection before the reply. A later reply is discarded.
     std::shared_ptr<std::function<void()>> on_gone{};
 };
 
-/// @brief A reply; sent with its length and, unless told otherwise, as JSON.
+/// @brief An HTTP reply. The server adds its `Content-Length`. The content type is JSON by default.
 struct http_reply
 {
     int status = 200;
@@ -38,53 +38,58 @@
     bool close_connection = false;
 };
 
-/// @brief An HTTP/1.1 server whose handler may reply later, from any thread.
+/// @brief An HTTP/1.1 server with an asynchronous handler.
+///
+/// The server calls the handler with each request and a function to reply with. The handler may call this
+/// function after it returns, and from any thread.
 class http_server
 {
   public:
     using respond = std::function<void(http_reply)>;
     using handler = std::function<void(const http_request&, respond)>;
 
-    /// @brief Bounds on what a peer may do.
+    /// @brief The limits on connections and requests.
     struct limits
     {
         std::size_t most_body_bytes = std::size_t{1} << 20U;
         std::size_t most_header_bytes = std::size_t{16} << 10U;
-        /// A request must be whole within this long.
+        /// The time within which a request must arrive completely.
         int request_timeout_ms = 10000;
-        /// An idle connection is closed after this; 0 for as long as a request may take.
+        /// The time after which an idle connection is closed; 0 to use @ref request_timeout_ms.
         int idle_timeout_ms = 0;
-        /// Connections at once; 0 for no bound.
+        /// The maximum number of open connections; 0 for no limit.
         std::size_t most_connections = 0;
-        /// The first request of a new connection is handled this much later; for stand-ins.
+        /// The delay before the first request of a new connection is read. Test servers use it to simulate
+        /// the cost of a new connection.
         int new_connection_cost_ms = 0;
     };
 
     http_server(boost::asio::io_context& io, limits bounds, handler handle);
 
-    /// @brief Accepts connections at this address.
+    /// @brief Accepts connections at the address @a at.
+    /// @return an error if the address can't be listened on
     std::error_code listen(const address& at);
 
-    /// @brief Takes no new connections, and closes each open one after its present request.
+    /// @brief Accepts no more connections, and closes each open connection after its current request.
     void drain();
 
-    /// @brief Serves on, but asks each caller by `Connection: close` to make a new connection for its next
-    /// request.
+    /// @brief Sends `Connection: close` with each further reply, so that each caller opens a new connection
+    /// for its next request. The server still accepts connections.
     void close_after_reply();
 
-    /// @brief Puts other bounds in force, from each connection's next request on.
+    /// @brief Replaces the limits. Each connection uses the new limits from its next request on.
     void set_limits(const limits& bounds);
 
-    /// @return requests that aren't replied to yet
+    /// @return the number of requests without a reply yet
     std::size_t in_flight() const noexcept;
 
-    /// @return connections that are open
+    /// @return the number of open connections
     std::size_t connections() const noexcept;
 
-    /// @return the most connections that were open at once
+    /// @return the maximum number of connections that were open at the same time
     std::size_t most_connections_seen() const noexcept;
 
-    /// @return connections that were closed at once because there were too many
+    /// @return the number of connections that were closed on accept because the limit was reached
     std::size_t connections_refused() const noexcept;
 
   private:
--- a/src/shell/http_status.hpp
+++ b/src/shell/http_status.hpp
@@ -3,7 +3,7 @@
 namespace flaxtiller::shell
 {
 
-/// @brief The HTTP status codes that our protocols use.
+/// @brief The HTTP status codes that the protocols of flaxtiller use.
 enum http_status : int
 {
     http_ok = 200,
@@ -18,7 +18,7 @@
     http_not_leader = 421,
     http_too_many = 429,
     http_header_too_large = 431,
-    /// The backend server stopped the work on a cancel.
+    /// The backend server stopped the work because the request was cancelled.
     http_cancelled = 499,
     http_error = 500,
     http_bad_gateway = 502,
--- a/src/shell/http_wire.cpp
+++ b/src/shell/http_wire.cpp
@@ -17,10 +17,11 @@
 {
 
 constexpr std::uint64_t most_reply_bytes = std::uint64_t{64} << 20U;
-/// Read at once: a part of a fan-out, head and body, mostly fits.
+/// The size of one read. The reply of one shard, headers and body, usually fits.
 constexpr std::size_t read_bytes = 4096;
 
-/// A request without a body says so where its method usually has one (RFC 9110, section 8.6).
+/// @return whether the request has a `Content-Length`. A request without a body has one if its method usually
+/// has a body (RFC 9110, section 8.6).
 bool needs_content_length(const http_exchange& request)
 {
     return !request.body.empty() || request.method == "POST" || request.method == "PUT" ||
--- a/src/shell/http_wire.hpp
+++ b/src/shell/http_wire.hpp
@@ -11,11 +11,14 @@
 namespace flaxtiller::shell
 {
 
-/// @return the request as it is sent, in HTTP/1.1
+/// @return the request as an HTTP/1.1 message
 /// @complexity one allocation for most requests
 std::string serialize_request(const http_exchange& request);
 
-/// @brief Reads the replies of one connection, one after the other, from whatever pieces arrive.
+/// @brief An incremental parser for the HTTP/1.1 replies of one connection.
+///
+/// For each reply, call @ref begin, then repeatedly read bytes into @ref space and report them with
+/// @ref arrived, until the state is no longer `needs_more`.
 class reply_reader
 {
   public:
@@ -23,7 +26,7 @@
     {
         needs_more,
         complete,
-        /// What came is no HTTP reply, or too much.
+        /// The bytes aren't an HTTP reply, or the reply is too large.
         malformed,
     };
 
@@ -32,23 +35,24 @@
     reply_reader(const reply_reader&) = delete;
     reply_reader& operator=(const reply_reader&) = delete;
 
-    /// @brief The next reply begins; bytes that came before are none of it.
+    /// @brief Starts the next reply and discards bytes that arrived earlier.
     void begin();
 
-    /// @return where the next bytes go
+    /// @return the buffer into which the next bytes are to be read
     boost::asio::mutable_buffer space();
 
-    /// @brief So many bytes arrived in @ref space.
+    /// @brief Parses the bytes that were read into @ref space.
+    /// @param bytes the number of these bytes
     state arrived(std::size_t bytes);
 
-    /// @brief The peer closed the connection: a reply without a length is whole by that.
+    /// @brief Reports that the peer closed the connection, which completes a reply without a length.
     state ended();
 
-    /// @brief Moves the reply that is whole into @a into.
+    /// @brief Moves the complete reply into @a into.
     void take(http_exchange_result& into);
 
-    /// @return whether the connection may carry another request: the peer keeps it, and no bytes are left
-    /// over
+    /// @return whether the connection may carry another request: the peer keeps it open, and no bytes follow
+    /// the reply
     bool is_reusable() const;
 
   private:
