--- a/src/shell/http_connection.cpp
+++ b/src/shell/http_connection.cpp
@@ -21,7 +21,7 @@
 constexpr double idle_time_share = 0.8;
 
 /// @return the time after which the connection of this reply must not be used again, according to the header
-/// `Keep-Alive: timeout=N`; `never()` without the header
+/// `Keep-Alive: timeout=N`; `never()` without a valid timeout
 time_point peer_idle_deadline(const http_fields& headers, time_point now)
 {
     constexpr std::string_view key = "timeout=";
