--- a/include/flaxtiller/teams/limit_message.hpp
+++ b/include/flaxtiller/teams/limit_message.hpp
@@ -11,74 +11,81 @@
 namespace flaxtiller
 {
 
-/// @brief Requests that an entry admitted for a team.
-struct limit_use
+/// @brief The number of requests that an entry admitted for a team.
+struct limit_usage
 {
     team_name team;
     std::int64_t requests = 0;
 
-    bool operator==(const limit_use&) const = default;
+    bool operator==(const limit_usage&) const = default;
 };
 
-/// @brief A request that waits for the leader's word.
-struct limit_ask
+/// @brief A request of a team that waits for the decision of the rate limit coordinator.
+struct limit_request
 {
     std::uint64_t number = 0;
     team_name team;
 
-    bool operator==(const limit_ask&) const = default;
+    bool operator==(const limit_request&) const = default;
 };
 
-/// @brief From an entry to the control replica that keeps the limits: what it admitted, and what it asks for.
+/// @brief A report of an entry to the rate limit coordinator: the admitted requests, and requests that wait
+/// for a decision.
+///
+/// The rate limit coordinator is the control replica that accounts for the requests of all entries; see
+/// @ref rate_limit_coordinator.
 struct limit_report
 {
-    /// Named again by the answer; a report that isn't answered is sent again under another number.
+    /// Identifies the report in the answer. The content of an unanswered report is sent again in a report
+    /// with another number.
     std::uint64_t number = 0;
-    /// How many entries there are, as far as the sender knows; 0 where it doesn't.
+    /// The number of entries as known to the sender; 0 if unknown.
     int entries = 0;
-    std::vector<limit_use> used;
-    std::vector<limit_ask> asked;
+    std::vector<limit_usage> usage;
+    std::vector<limit_request> pending_requests;
 
     bool operator==(const limit_report&) const = default;
 };
 
-/// @brief The answer to one @ref limit_ask.
-struct limit_grant
+/// @brief The answer to a @ref limit_request.
+struct limit_decision
 {
     std::uint64_t number = 0;
     bool granted = false;
-    /// Of a request that isn't granted: when the team's limit lets it through.
+    /// The time after which the limit has room for a request that was not granted.
     duration retry_after{};
 
-    bool operator==(const limit_grant&) const = default;
+    bool operator==(const limit_decision&) const = default;
 };
 
-/// @brief Whether a team has used up its limit.
-struct limit_standing
+/// @brief The status of the limit of a team.
+struct limit_status
 {
     team_name team;
-    /// While it is, each request must be asked for.
+    /// Whether the team has used up its limit. Each further request then needs a decision of the rate limit
+    /// coordinator.
     bool limited = false;
-    /// Until then the leader has nothing to grant.
-    duration dry_for{};
+    /// The time until the coordinator can grant the next request.
+    duration exhausted_for{};
 
-    bool operator==(const limit_standing&) const = default;
+    bool operator==(const limit_status&) const = default;
 };
 
-/// @brief From the control replica that keeps the limits to an entry.
-struct limit_word
+/// @brief A message of the rate limit coordinator to an entry: the answer to a report, or a change of status
+/// that goes to all entries.
+struct limit_update
 {
-    /// The report that it answers; 0 for news to all entries.
+    /// The number of the answered report; 0 for a message to all entries.
     std::uint64_t number = 0;
-    std::vector<limit_grant> grants;
-    std::vector<limit_standing> standings;
+    std::vector<limit_decision> request_decisions;
+    std::vector<limit_status> statuses;
 
-    bool operator==(const limit_word&) const = default;
+    bool operator==(const limit_update&) const = default;
 };
 
 void to_json(nlohmann::json& j, const limit_report& value);
 void from_json(const nlohmann::json& j, limit_report& value);
-void to_json(nlohmann::json& j, const limit_word& value);
-void from_json(const nlohmann::json& j, limit_word& value);
+void to_json(nlohmann::json& j, const limit_update& value);
+void from_json(const nlohmann::json& j, limit_update& value);
 
 } // namespace flaxtiller
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -1,4 +1,5 @@
-// The subcommands that run a process: entry and control.
+/// @file
+/// The subcommands that run a process: `entry` and `control`.
 
 #include "commands.hpp"
 #include "exit_status.hpp"
@@ -12,8 +13,9 @@
 #include <csignal>
 #include <cstdio>
 
-DEFINE_string(settings, "", "the process's settings, JSON with comments");
-DEFINE_bool(init, false, "make the empty data folder the first member of new logs, then exit");
+DEFINE_string(settings, "", "the settings file of the process, JSON with comments");
+DEFINE_bool(init, false,
+            "initialize the empty data folder as the first member of new replicated logs, then exit");
 
 namespace flaxtiller::command
 {
@@ -21,14 +23,16 @@
 namespace
 {
 
-/// Prints all findings; returns whether there is no error.
-bool report(const findings& found)
+/// @brief Prints all findings.
+/// @return whether there is no error
+bool print_findings(const findings& found)
 {
     fmt::print(stderr, "{}", found.to_text());
     return !found.has_errors();
 }
 
-bool no_arguments(const std::vector<std::string>& arguments)
+/// @brief Checks that --settings is given and that there are no positional arguments.
+bool has_only_settings(const std::vector<std::string>& arguments)
 {
     if (arguments.empty() && !FLAGS_settings.empty())
     {
@@ -42,21 +46,21 @@
 
 int run_entry(const std::vector<std::string>& arguments)
 {
-    if (!no_arguments(arguments))
+    if (!has_only_settings(arguments))
     {
         return usage;
     }
     findings found;
     const std::string text = shell::read_file(FLAGS_settings, found);
     const shell::entry_settings settings = shell::parse_entry_settings(text, FLAGS_settings, found);
-    if (!report(found))
+    if (!print_findings(found))
     {
         return refused;
     }
     std::signal(SIGPIPE, SIG_IGN);
     shell::configure_log("entry/" + settings.instance.name, settings.least_level);
     shell::entry_process process(settings);
-    if (!report(process.open()))
+    if (!print_findings(process.open()))
     {
         return refused;
     }
@@ -65,27 +69,27 @@
 
 int run_control(const std::vector<std::string>& arguments)
 {
-    if (!no_arguments(arguments))
+    if (!has_only_settings(arguments))
     {
         return usage;
     }
     findings found;
     const std::string text = shell::read_file(FLAGS_settings, found);
     const shell::control_settings settings = shell::parse_control_settings(text, FLAGS_settings, found);
-    if (!report(found))
+    if (!print_findings(found))
     {
         return refused;
     }
     std::signal(SIGPIPE, SIG_IGN);
     shell::configure_log("control/" + settings.replica.name, settings.least_level);
     shell::control_process process(settings);
-    if (!report(process.open()))
+    if (!print_findings(process.open()))
     {
         return refused;
     }
     if (FLAGS_init)
     {
-        return report(process.found_logs()) ? success : refused;
+        return print_findings(process.bootstrap_logs()) ? success : refused;
     }
     return process.run();
 }
--- a/src/control/control_implementation.hpp
+++ b/src/control/control_implementation.hpp
@@ -2,23 +2,23 @@
 
 #include "control_process.hpp"
 
-#include "shell/crash_hub.hpp"
+#include "shell/crash_record_distributor.hpp"
 #include "shell/http_server.hpp"
 #include "shell/log.hpp"
 #include "shell/peer_links.hpp"
-#include "shell/registration_hub.hpp"
+#include "shell/registration_distributor.hpp"
 #include "shell/suspension_watch.hpp"
 #include "shell/system.hpp"
 
 #include <flaxtiller/catalog/catalog_state.hpp>
 #include <flaxtiller/core/hash.hpp>
 #include <flaxtiller/distribution/publisher.hpp>
-#include <flaxtiller/distribution/report_pace.hpp>
-#include <flaxtiller/quorum/member_keeper.hpp>
+#include <flaxtiller/distribution/report_interval.hpp>
+#include <flaxtiller/quorum/membership_planner.hpp>
 #include <flaxtiller/quorum/posix_file_system.hpp>
-#include <flaxtiller/quorum/replicated_machine.hpp>
+#include <flaxtiller/quorum/replicated_state_machine.hpp>
 #include <flaxtiller/register/register_state.hpp>
-#include <flaxtiller/teams/rate_ledger.hpp>
+#include <flaxtiller/teams/rate_limit_coordinator.hpp>
 
 #include <utility>
 
@@ -41,24 +41,27 @@
 
 namespace net = boost::asio;
 
-/// The names of the two replicated logs, between processes and as folders.
+/// The names of the two replicated logs in messages between processes, which are also their folder names.
 inline constexpr const char* catalog_log = "catalog";
 inline constexpr const char* register_log = "register";
 
-/// An instance counts as sharing the backend servers for this long after its last report.
+/// An instance is counted among those that share the backend servers for this time after its last report.
 inline constexpr duration instance_age = duration::from_ms(10000);
 
-using catalog_machine = quorum::replicated_machine<catalog_state, quorum::posix_file_system>;
-using register_machine = quorum::replicated_machine<register_state, quorum::posix_file_system>;
+using catalog_machine = quorum::replicated_state_machine<catalog_state, quorum::posix_file_system>;
+using register_machine = quorum::replicated_state_machine<register_state, quorum::posix_file_system>;
 
-/// @brief The parts of a control process and how they hang together. Its members are defined by job:
-/// control_decisions.cpp, control_links.cpp, control_operators.cpp, control_process.cpp.
+/// @brief The components of a control process and their connections.
+///
+/// All member functions run on one strand. The member functions are defined by topic: state changes and
+/// timers in control_decisions.cpp, messages of other processes in control_links.cpp, the HTTP interface for
+/// operators in control_operators.cpp, and the public functions of the process in control_process.cpp.
 struct control_process::implementation
 {
-    static http_server::limits limits_of(const control_settings& settings);
+    static http_server::limits http_limits_of(const control_settings& settings);
 
-    explicit implementation(control_settings wanted)
-        : settings(std::move(wanted)), strand(net::make_strand(io)), timer(strand),
+    explicit implementation(control_settings requested)
+        : settings(std::move(requested)), strand(net::make_strand(io)), timer(strand),
           signals(strand, SIGTERM, SIGINT, SIGHUP),
           links(hello{link_protocol_version, "control", settings.replica.name, draw64(),
                       settings.replica.region, settings.replica.availability_zone, settings.link.str()},
@@ -84,17 +87,19 @@
                   quorum::replica_name(settings.replica.name), settings.timing),
           registers(files, settings.data_folder + "/" + register_log,
                     quorum::replica_name(settings.replica.name), settings.timing),
-          hub(links, settings.data_folder + "/registrations", settings.registration_silence, clock.now()),
-          crashes(links, settings.data_folder + "/crash_records"), limits(settings.limit_tolerance),
-          keeper(settings.keeper), operators(io, limits_of(settings),
-                                             [this](const http_request& request, http_server::respond respond)
-                                             {
-                                                 net::post(strand,
-                                                           [this, request, respond]
-                                                           {
-                                                               on_operator(request, respond);
-                                                           });
-                                             })
+          registrations(links, settings.data_folder + "/registrations", settings.registration_silence,
+                        clock.now()),
+          crash_records(links, settings.data_folder + "/crash_records"),
+          rate_limits(settings.limit_tolerance), membership(settings.keeper),
+          operators(io, http_limits_of(settings),
+                    [this](const http_request& request, http_server::respond respond)
+                    {
+                        net::post(strand,
+                                  [this, request, respond]
+                                  {
+                                      on_operator(request, respond);
+                                  });
+                    })
     {
     }
 
@@ -110,86 +115,90 @@
     catalog_machine catalog;
     register_machine registers;
     distribution::publisher publisher;
-    registration_hub hub;
-    crash_hub crashes;
-    rate_ledger limits;
-    /// As what this replica last kept the limits of teams.
-    struct limit_keeping
+    registration_distributor registrations;
+    crash_record_distributor crash_records;
+    rate_limit_coordinator rate_limits;
+    /// The role in which this replica acted as the rate limit coordinator: as the leader of a term, or as the
+    /// substitute while there is no leader.
+    struct rate_limit_role
     {
-        bool stands_in = false;
+        bool is_substitute = false;
         quorum::term_number term = 0;
 
-        bool operator==(const limit_keeping&) const = default;
+        bool operator==(const rate_limit_role&) const = default;
     };
-    limit_keeping limits_kept;
+    rate_limit_role last_rate_limit_role;
     time_point leaderless_since = time_point::never();
-    time_point share_limits_at{};
-    quorum::member_keeper keeper;
+    time_point next_limit_share_at{};
+    quorum::membership_planner membership;
     http_server operators;
     std::unique_ptr<http_server> gateway;
-    time_point notice_at{};
-    /// What the replicas that can be reached say they hold, by log and name.
+    time_point next_notice_at{};
+    /// The announcements of the reachable replicas about their log folders, by log and name.
     std::map<std::string, std::map<quorum::replica_name, quorum::announcement>> announced;
-    /// Entries by name, and what each of them was last told of the others.
+    /// The entries by name, and the list of all entries that was last sent to each of them.
     std::map<std::string, entry_peer> entries;
-    std::map<std::string, std::shared_ptr<const std::vector<entry_peer>>> told_entries;
-    time_point tell_entries_at{};
-    /// The entries heard lately, 0 while that isn't known, and when they are counted again.
+    std::map<std::string, std::shared_ptr<const std::vector<entry_peer>>> sent_entry_lists;
+    time_point next_entry_lists_at{};
+    /// The number of entries that reported recently, 0 if unknown, and the time of the next count.
     int entry_count = 0;
-    time_point count_entries_at{};
-    time_point tick_links_at{};
-    /// The replicas that the hub was told of and that were linked to last.
-    std::set<std::string> linked;
+    time_point next_entry_count_at{};
+    time_point next_link_tick_at{};
+    /// The replicas that links were last requested to, and that registrations are exchanged with.
+    std::set<std::string> linked_replicas;
     suspension_watch suspensions;
     bool pump_posted = false;
-    /// Whether the catalog's replica gave no vote yet, when last looked at.
-    bool awaits_lease = false;
-    bool led = false;
-    time_point led_since{};
+    /// Whether the replica of the catalog granted no votes yet, at the last check, since a lease that it
+    /// supported before its restart may still be valid.
+    bool waits_for_previous_lease = false;
+    bool was_leader = false;
+    time_point leader_since{};
     const time_point started_at = clock.now();
-    bool answered = false;
+    bool was_authoritative = false;
     std::error_code reported_storage_error;
 
-    // ------------------------------------------------------------------ decisions
+    // ------------------------------------------------------------------ state changes and timers
 
-    /// Commands that arrive before the pump runs share one sync.
-    void pump_soon();
+    /// Schedules @ref pump. Commands that arrive before it runs share one sync to disk.
+    void schedule_pump();
 
     void pump();
 
-    /// @return whether the replica's own log names its peers
-    bool forms_itself() const;
+    /// @return whether the log itself defines the member set, instead of the settings
+    bool is_self_forming() const;
 
     std::set<std::string> replica_names();
 
-    /// Where the set forms itself, a replica's name is its link's address.
+    /// Requests links to all members. In a self-forming set, the name of a replica is the address of its
+    /// link.
     void link_to_members();
 
-    /// A leader mends the member set; see quorum::member_keeper.
+    /// Repairs the member set if this replica leads. See quorum::member_keeper.
     template <typename Machine>
-    void keep_members(Machine& machine, const char* log_name, time_point now)
+    void maintain_membership(Machine& machine, const char* log_name, time_point now)
     {
         quorum::replica* node = machine.node();
-        if (node == nullptr || !forms_itself() || !node->is_ready_leader())
+        if (node == nullptr || !is_self_forming() || !node->is_ready_leader())
         {
             return;
         }
-        const auto wanted =
-            keeper.next(node->name(), node->members(), node->others(), announced[log_name], now);
-        if (!wanted)
+        const auto requested =
+            membership.next(node->name(), node->members(), node->others(), announced[log_name], now);
+        if (!requested)
         {
             return;
         }
-        const bool adds = wanted->what == quorum::member_change::kind::add;
-        const std::error_code refused = adds ? node->add_member(wanted->name, wanted->incarnation, now)
-                                             : node->remove_member(wanted->name, now);
+        const bool is_addition = requested->operation == quorum::member_change::kind::add;
+        const std::error_code refused = is_addition
+                                            ? node->add_member(requested->name, requested->incarnation, now)
+                                            : node->remove_member(requested->name, now);
         if (!refused)
         {
             log(log_level::info, "members_mended",
                 {{"log", log_name},
-                 {"change", adds ? "add_learner" : "remove"},
-                 {"replica", wanted->name.str()},
-                 {"incarnation", wanted->incarnation},
+                 {"change", is_addition ? "add_learner" : "remove"},
+                 {"replica", requested->name.str()},
+                 {"incarnation", requested->incarnation},
                  {"term", node->term()}});
         }
     }
@@ -198,21 +207,22 @@
 
     void publish();
 
-    void note_changes();
+    void track_state_changes();
 
-    /// Once this replica may answer, entries that wait for a leader's word get it unasked.
-    void confirm_to_entries(time_point now);
+    /// Sends a confirmation of the revision to the entries when this replica becomes authoritative, as they
+    /// may be waiting for the confirmation of a leader.
+    void confirm_revision_to_entries(time_point now);
 
-    bool knows_entries(time_point now) const;
+    bool knows_all_entries(time_point now) const;
 
-    bool all_linked_reported(time_point now) const;
+    bool all_linked_entries_reported(time_point now) const;
 
     int counted_entries(time_point now);
 
-    /// How often entries report to this replica while it leads.
-    distribution::report_pace pace() const noexcept
+    /// @return the interval at which entries report to this replica while it leads
+    distribution::report_interval pace() const noexcept
     {
-        return distribution::report_pace(entry_count);
+        return distribution::report_interval(entry_count);
     }
 
     distribution::revision_confirmation confirmation(time_point now);
@@ -246,21 +256,23 @@
 
     void on_report(const hello& from, const distribution::revision_report& report, time_point now);
 
-    /// Whether this replica keeps the limits of teams: the leader does, and while there is none the first of
-    /// the replicas by name, so that two never do for entries that reach both.
-    bool keeps_limits(time_point now);
+    /// @return whether this replica acts as the rate limit coordinator. The leader does; without a leader,
+    /// the first of the replicas by name does, so that entries never find two coordinators among the replicas
+    /// that they reach.
+    bool acts_as_rate_limit_coordinator(time_point now);
 
-    /// Whether there has been no leader for a while, this replica is the first by name, and entries reach it.
-    bool stands_in_for_limits(time_point now);
+    /// @return whether this replica substitutes for the rate limit coordinator: no leader has been known for
+    /// a while, this replica is the first one by name, and entries reach it
+    bool substitutes_for_rate_limit_coordinator(time_point now);
 
-    /// @return the share of the limits that this replica keeps, of entries that are so many in all
-    double limits_share(int all_entries, time_point now);
+    /// @return the share of the limits that this replica may grant, given the number of all entries
+    double reachable_limit_share(int all_entries, time_point now);
 
-    /// Keeps the limits of teams over all entries.
+    /// Handles the report of an entry if this replica acts as the rate limit coordinator.
     void on_limit_report(const hello& from, const limit_report& report, time_point now);
 
-    /// A leader tells the entries of one another.
-    void tell_entries(time_point now);
+    /// Sends the list of all entries, or its changes, to each entry. For leaders only.
+    void send_entry_lists(time_point now);
 
     void on_register_call(const hello& from, const register_call& call, time_point now);
 
@@ -272,18 +284,19 @@
 
     static std::optional<change> read_change(const http_request& request, http_reply& refusal);
 
-    /// @return whether the settings name this availability zone; true for all where they name none
+    /// @return whether the settings contain this availability zone; true for any name if they contain none
     bool knows_zone(const std::string& zone) const;
 
-    /// @return a finding where an evacuation names an availability zone that the settings don't
-    findings check_zone(const change& wanted) const;
+    /// @return an error if the change evacuates an availability zone that the settings don't contain
+    findings check_availability_zone(const change& requested) const;
 
     static int status_of(const change_result& result);
 
     void on_change(const http_request& request, const http_server::respond& respond);
 
-    /// Puts a change into the log; @a done is called once it is committed, or can't be known to be.
-    void submit(change wanted, std::function<void(std::error_code, const change_result&)> done);
+    /// Proposes a change to the catalog log. @a done is called when the change is committed, or with an error
+    /// when that is uncertain.
+    void submit(change requested, std::function<void(std::error_code, const change_result&)> done);
 
     void on_signal();
 
@@ -304,55 +317,58 @@
         return node != nullptr && node->role() == quorum::role::leader;
     }
 
-    /// Makes the change if this replica leads the log, and asks the leader for it if not.
-    /// @return nothing once the change is in this replica's log
+    /// Changes the member set if this replica leads the log, and forwards the request to the leader
+    /// otherwise.
+    /// @return no error if the change is in the log of this replica
     template <typename Machine>
-    std::error_code change_members(Machine& machine, const char* log_name, member_request wanted)
+    std::error_code change_members(Machine& machine, const char* log_name, member_request requested)
     {
-        const quorum::replica_name name(wanted.name);
+        const quorum::replica_name name(requested.name);
         quorum::replica* node = machine.node();
         if (node == nullptr)
         {
             return errc::storage_failed;
         }
         const auto& known = announced[log_name];
-        const auto holds = known.find(name);
-        const bool removes = wanted.action == "remove";
-        if (!removes && holds == known.end())
+        const auto announced_member = known.find(name);
+        const bool is_removal = requested.action == "remove";
+        if (!is_removal && announced_member == known.end())
         {
             return errc::unreachable;
         }
         if (leads(machine))
         {
-            return removes ? node->remove_member(name, clock.now())
-                           : node->add_member(name, holds->second.incarnation, clock.now());
+            return is_removal ? node->remove_member(name, clock.now())
+                              : node->add_member(name, announced_member->second.incarnation, clock.now());
         }
         const auto member = node->members().members.find(name);
         const bool is_member = member != node->members().members.end();
         const bool done =
-            removes ? !is_member : is_member && member->second.incarnation == holds->second.incarnation;
+            is_removal ? !is_member
+                       : is_member && member->second.incarnation == announced_member->second.incarnation;
         if (done)
         {
             return {};
         }
-        wanted.log = log_name;
-        links.send(node->leader().str(), wanted);
+        requested.log = log_name;
+        links.send(node->leader().str(), requested);
         return errc::not_committed;
     }
 
-    void on_member_request(const hello& from, const member_request& wanted);
+    void on_member_request(const hello& from, const member_request& requested);
 
     // ------------------------------------------------------------------ inspection
 
     nlohmann::json dump();
 
-    /// The founders' incarnations are known to all of them beforehand. A folder that is made later draws its
-    /// own, so that a wiped founder doesn't pass for the first one.
+    /// @return the incarnation of an initial member, which all initial members can compute. A folder that is
+    /// created later gets a random incarnation, so that a wiped initial member isn't taken for the original
+    /// one.
     static quorum::incarnation_id founding_incarnation(const quorum::replica_name& name);
 
-    /// Makes the seeds the voters of a new log, unless the folder holds one already.
+    /// Creates a new log with the seeds of the settings as its voters, unless the folder contains a log.
     template <typename Machine>
-    void found_together(Machine& machine, const char* log_name)
+    void bootstrap_from_seeds(Machine& machine, const char* log_name)
     {
         quorum::member_set founders;
         for (const named_address& seed : settings.replicas)
@@ -368,26 +384,26 @@
     }
 
     template <typename Machine>
-    void open_machine(Machine& machine, const char* log_name, findings& found)
+    void open_machine(Machine& machine, const char* log_name, findings& errors)
     {
         const std::string folder = settings.data_folder + "/" + log_name;
         std::error_code failed;
         std::filesystem::create_directories(folder, failed);
         if (!failed)
         {
-            const bool founds = forms_itself() && settings.founding;
+            const bool bootstraps = is_self_forming() && settings.founding;
             const auto own = quorum::replica_name(settings.replica.name);
-            failed = machine.open(founds ? founding_incarnation(own) : draw64(), draw64(), clock.now());
+            failed = machine.open(bootstraps ? founding_incarnation(own) : draw64(), draw64(), clock.now());
         }
-        if (!failed && forms_itself() && settings.founding)
+        if (!failed && is_self_forming() && settings.founding)
         {
-            found_together(machine, log_name);
+            bootstrap_from_seeds(machine, log_name);
         }
         if (failed)
         {
-            found.error(failed.category() == error_category() ? static_cast<errc>(failed.value())
-                                                              : errc::storage_failed,
-                        "/data_folder", folder + ": " + failed.message());
+            errors.error(failed.category() == error_category() ? static_cast<errc>(failed.value())
+                                                               : errc::storage_failed,
+                         "/data_folder", folder + ": " + failed.message());
         }
         if (!machine.storage_warning().empty())
         {
--- a/src/dispatch/owner_choice.cpp
+++ b/src/dispatch/owner_choice.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// One for an attempt that waits ahead, one for cancels.
+/// One connection for a pipelined attempt and one for cancels.
 constexpr int connections_beyond_slots = 2;
 
 } // namespace
@@ -23,8 +23,8 @@
     {
         for (const backend_server& server : replicas)
         {
-            const int wanted = server.slots + connections_beyond_slots;
-            fewest = std::min(fewest, server.connection_limit / wanted - 1);
+            const int needed = server.slots + connections_beyond_slots;
+            fewest = std::min(fewest, server.connection_limit / needed - 1);
         }
     }
     return std::max(fewest, 1);
@@ -51,8 +51,8 @@
     {
         if (!item.leaving)
         {
-            const std::string what = service.str() + '/' + std::to_string(group) + '/' + name.str();
-            ranked.emplace_back(hash64(what), name);
+            const std::string hashed_name = service.str() + '/' + std::to_string(group) + '/' + name.str();
+            ranked.emplace_back(hash64(hashed_name), name);
         }
     }
     std::sort(ranked.begin(), ranked.end(), std::greater<>());
--- a/src/entry/entry_implementation.hpp
+++ b/src/entry/entry_implementation.hpp
@@ -1,20 +1,20 @@
 #pragma once
 
-#include "control_directory.hpp"
 #include "entry_process.hpp"
+#include "known_control_replicas.hpp"
 
 #include "shell/log.hpp"
 #include "shell/peer_links.hpp"
 #include "shell/pools_by_server.hpp"
 #include "shell/register_client.hpp"
-#include "shell/routed_front.hpp"
-#include "shell/service_lane.hpp"
+#include "shell/routing_frontend.hpp"
+#include "shell/service_runner.hpp"
 #include "shell/suspension_watch.hpp"
 #include "shell/system.hpp"
 #include "shell/trace_writer.hpp"
 
 #include <flaxtiller/core/rcu_cell.hpp>
-#include <flaxtiller/distribution/replica_choice.hpp>
+#include <flaxtiller/distribution/control_replica_selector.hpp>
 #include <flaxtiller/distribution/subscriber.hpp>
 #include <flaxtiller/registration/live_placement.hpp>
 #include <flaxtiller/registration/registry.hpp>
@@ -40,15 +40,20 @@
 
 namespace net = boost::asio;
 
-/// @brief What a request reads, by read-copy-update: the placement in force and the lane of each service.
-struct entry_routing
+/// @brief An immutable snapshot that requests read without locks, by read-copy-update: the active placement,
+/// and the runner of each service.
+struct routing_snapshot
 {
     std::shared_ptr<const placement> placed;
-    std::map<service_name, std::shared_ptr<service_lane>> lanes;
+    std::map<service_name, std::shared_ptr<service_runner>> runners;
 };
 
-/// @brief The parts of an entry process and how they hang together. Its members are defined by job:
-/// entry_callers.cpp, entry_links.cpp, entry_configuration.cpp, entry_platform_list.cpp, entry_process.cpp.
+/// @brief The state and the components of an entry process, and the connections between them.
+///
+/// Members without a lock are used on @ref strand only, unless they are atomic or thread-safe. The member
+/// functions are defined by topic: requests of callers and operators in entry_callers.cpp, messages from
+/// other processes in entry_links.cpp, the configuration in entry_configuration.cpp, the list of the platform
+/// in entry_platform_list.cpp, start and stop in entry_process.cpp.
 struct entry_process::implementation
 {
     static std::vector<std::string> names_of(const std::vector<named_address>& items);
@@ -57,8 +62,8 @@
 
     explicit implementation(entry_settings wanted)
         : settings(std::move(wanted)), run_id(draw64()), strand(net::make_strand(io)), link_timer(strand),
-          report_timer(strand), catch_up_timer(strand), follow_timer(strand), pools_timer(strand),
-          drain_timer(strand), view_timer(strand), signals(io, SIGTERM, SIGINT, SIGHUP),
+          report_timer(strand), catch_up_timer(strand), follow_retry_timer(strand), pools_timer(strand),
+          drain_timer(strand), routing_update_timer(strand), signals(io, SIGTERM, SIGINT, SIGHUP),
           links(hello{link_protocol_version, "entry", settings.instance.name, run_id,
                       settings.instance.region, settings.instance.availability_zone, settings.link.str()},
                 counted, settings.links,
@@ -72,19 +77,19 @@
                      on_reachable(name, up);
                  }}),
           registers(io, links, names_of(settings.control)), pools(io, counted),
-          trace(settings.trace_file), lanes{io,
-                                            pools,
-                                            links,
-                                            registers,
-                                            counted,
-                                            trace,
-                                            instance_name(settings.instance.name),
-                                            run_id,
-                                            options_of(settings)},
-          table(std::make_shared<const entry_routing>()), control(settings.control),
+          trace(settings.trace_file), runner_context{io,
+                                                     pools,
+                                                     links,
+                                                     registers,
+                                                     counted,
+                                                     trace,
+                                                     instance_name(settings.instance.name),
+                                                     run_id,
+                                                     options_of(settings)},
+          current_snapshot(std::make_shared<const routing_snapshot>()), control(settings.control),
           region_of_zone(settings.region_of_zone),
           routed(settings.routed.port == 0 ? nullptr
-                                           : std::make_unique<routed_front>(
+                                           : std::make_unique<routing_frontend>(
                                                  io, counted, settings.routing, settings.routed_names,
                                                  [this](const std::string& to, const link_message& message)
                                                  {
@@ -98,12 +103,12 @@
                                                                    link_to_entries(owners);
                                                                });
                                                  },
-                                                 [this](const crash_news& news)
+                                                 [this](const crash_news& crash_update)
                                                  {
                                                      net::post(strand,
-                                                               [this, news]
+                                                               [this, crash_update]
                                                                {
-                                                                   tell_crashes(news);
+                                                                   report_crash_records(crash_update);
                                                                });
                                                  })),
           callers(io, limits_of(settings),
@@ -125,11 +130,13 @@
     net::strand<net::io_context::executor_type> strand;
     net::steady_timer link_timer;
     net::steady_timer report_timer;
+    /// Expires when an entry that doesn't serve yet has lacked the current revision for too long.
     net::steady_timer catch_up_timer;
-    net::steady_timer follow_timer;
+    /// Expires when the selection of a control replica is to be repeated, after no replica was near enough.
+    net::steady_timer follow_retry_timer;
     net::steady_timer pools_timer;
     net::steady_timer drain_timer;
-    net::steady_timer view_timer;
+    net::steady_timer routing_update_timer;
     net::signal_set signals;
     monotonic_clock clock;
     metrics counted;
@@ -137,57 +144,60 @@
     register_client registers;
     pools_by_server<backend_pool> pools;
     trace_writer trace;
-    lane_context lanes;
-    rcu_cell<entry_routing> table;
+    service_runner_context runner_context;
+    rcu_cell<routing_snapshot> current_snapshot;
     distribution::subscriber subscriber;
-    /// Microseconds of the monotonic clock at which a leader last confirmed the revision; 0 for never.
+    /// When a leader last confirmed the active revision, in microseconds of the monotonic clock; 0 for never.
     std::atomic<std::int64_t> confirmed_at_us{0};
     std::atomic<bool> draining{false};
-    time_point drain_until{};
-    /// What is in flight gets its final answer then.
-    time_point drain_end{};
+    time_point drain_deadline{};
+    /// When all requests still in flight are given their final answers.
+    time_point final_answers_at{};
+    /// Whether the connections of callers are being closed.
     bool closing = false;
-    /// Whether it got it.
-    bool answered_all = false;
-    /// New connections may come until then: the balancer needs to notice.
-    time_point drained_at_least{};
-    suspension_watch suspensions;
+    /// Whether these final answers were sent.
+    bool final_answers_sent = false;
+    /// New connections are accepted at least until then, since the load balancer takes time to notice the
+    /// drain.
+    time_point earliest_drain_end{};
+    suspension_watch suspension_detector;
     std::set<std::string> reachable;
-    control_directory control;
+    known_control_replicas control;
     const shared_value<std::map<std::string, std::string>> region_of_zone;
-    std::unique_ptr<routed_front> routed;
+    std::unique_ptr<routing_frontend> routed;
     registry registered;
     warmup_tracker warmups;
-    /// Where routed requests may go: the declared backend servers and the registered ones.
+    /// The backend servers that may receive routed requests: the declared ones and the registered ones.
     live_placement routed_placement;
-    /// Entry instances that share the backend servers, as the leader counts them; 0 while that isn't known.
-    int entries = 0;
-    /// The other entries, by name, as a leader listed them.
+    /// Number of entry instances that share the backend servers, as counted by the leader; 0 if unknown.
+    int entry_count = 0;
+    /// The other entries, by name, from the entry list of a leader.
     std::map<instance_name, entry_peer> listed_entries;
-    /// The same list as requests read it, and those of it that can't be reached.
+    /// The same entries in the form that the router uses, and the ones among them that are unreachable.
     shared_value<std::vector<entry_peer>> listed_peers;
     shared_value<std::set<instance_name>> unreachable;
-    /// Those that this one keeps links to, and when each was last needed.
+    /// The entries that this entry keeps links to, and when each link was last needed.
     std::map<instance_name, time_point> linked_entries;
-    /// The routes of the revision in force.
+    /// The routes of the active revision.
     std::shared_ptr<const route_table> routes = std::make_shared<const route_table>();
-    /// And its teams.
+    /// The teams of the active revision.
     std::shared_ptr<const team_table> teams = std::make_shared<const team_table>();
-    bool view_due = false;
-    /// Registrations that changed since the view was last to be updated.
-    std::size_t changes_gathered = 0;
-    /// As of the revision in force.
+    bool routing_update_pending = false;
+    /// Number of changes of registrations since an update of the routing was last scheduled.
+    std::size_t changes_since_update = 0;
+    /// The evacuated availability zones of the active revision.
     std::set<std::string> evacuated_zones;
-    /// The replica that last said under its lease what the present revision is, and when.
+    /// The replica that last confirmed the current revision under its leader lease, or that another replica
+    /// named as the leader since; and the time of this message.
     std::string leader;
-    time_point leader_heard_at{};
+    time_point leader_contact_at{};
     time_point leader_reported_at{};
-    /// How often it wants to hear from this entry.
-    duration leader_report_every = duration::from_ms(1000);
+    /// The interval at which the leader expects reports from this entry.
+    duration leader_report_interval = duration::from_ms(1000);
     std::int64_t leader_revision = 0;
-    /// Which replica's updates this entry follows.
-    distribution::replica_choice control_choice;
-    std::map<backend_server_name, bool> listed_leaving;
+    /// Selects the control replica from which this entry receives updates.
+    distribution::control_replica_selector control_choice;
+    std::map<backend_server_name, bool> leaving_by_server;
     std::thread platform_poller;
     std::atomic<bool> stopping{false};
     http_server callers;
@@ -202,9 +212,9 @@
 
     void on_query(const http_request& request, http_server::respond respond);
 
-    void answer(const query_answer& told, const http_server::respond& respond);
+    void answer(const query_answer& result, const http_server::respond& respond);
 
-    void count(const query_answer& told);
+    void count(const query_answer& result);
 
     // ------------------------------------------------------------------ operators
 
@@ -212,51 +222,58 @@
 
     void dump(http_server::respond respond);
 
-    nlohmann::json dump_with(const nlohmann::json& services);
+    nlohmann::json assemble_dump(const nlohmann::json& services);
 
     // ------------------------------------------------------------------ links
 
     void on_message(const std::shared_ptr<const hello>& from,
                     const std::shared_ptr<const link_message>& message);
 
-    /// @return whether it was a message between entries on a routed request
+    /// @brief Passes messages that concern routed requests to the routing frontend.
+    /// @return whether the message was such a message
     bool on_routed(const hello& from, const std::shared_ptr<const link_message>& message);
 
-    void on_surroundings(const hello& from, const link_message& message);
+    /// Handles messages on the state of the cluster: configuration, registrations, control replicas and
+    /// entries.
+    void on_cluster_message(const hello& from, const link_message& message);
 
     void on_registrations(const hello& from, const registration_update& update);
 
     static void log_registrations(const hello& from, const std::vector<registration>& changes);
 
-    /// A replica's word on where the others are.
-    void on_control_members(const hello& from, const control_members& told);
+    /// Handles the member list of a control replica.
+    void on_control_members(const hello& from, const control_members& member_list);
 
-    void note_control_replicas();
+    void on_control_replicas_changed();
 
-    /// Soon puts what changed in this entry's surroundings in force; changes that come together share it.
-    void update_routed_soon();
+    /// Schedules @ref update_routing after a short delay, so that changes within this delay are applied
+    /// together.
+    void schedule_routing_update();
 
-    void update_routed();
+    void update_routing();
 
-    /// Notes which of the listed entries can't be reached.
-    void note_unreachable();
+    /// Updates the set of listed entries that are unreachable.
+    void update_unreachable();
 
-    /// Links to the owners of the shards that callers ask for, and to a few entries of each other region.
+    /// Establishes links to the owners of the shards that callers request, and to a few entries of each other
+    /// region.
     void link_to_entries(const std::set<instance_name>& owners);
 
     void on_entry_list(const entry_list& list);
 
-    /// Tells the control replica that this entry follows; all of them where that can't be reached.
-    void tell_crashes(const crash_news& news);
+    /// Sends crash records to the control replica that this entry follows, or to all control replicas if that
+    /// replica is unreachable.
+    void report_crash_records(const crash_news& crash_update);
 
-    /// Of each other region this one links to a few entries, other ones than its neighbours do, so that links
-    /// don't grow with the square of the instances.
-    std::set<instance_name> far_entries() const;
+    /// Selects a few entries of each other region to link to. Each entry selects different ones, by a hash of
+    /// both names, so that the number of links doesn't grow with the square of the number of instances.
+    std::set<instance_name> remote_entries() const;
 
-    /// The control replicas that can be reached, and how far they are.
-    std::vector<distribution::replica_choice::candidate> control_candidates() const;
+    /// @return the reachable control replicas with their distances: same availability zone, same region, or
+    /// another region
+    std::vector<distribution::control_replica_selector::candidate> control_candidates() const;
 
-    void post_to_lane(const service_name& service, coordinator_event event);
+    void post_to_service(const service_name& service, coordinator_event event);
 
     void on_reachable(const std::string& name, bool up);
 
@@ -264,46 +281,47 @@
 
     void on_update(const distribution::revision_update& update);
 
-    void on_confirmation(const hello& from, const distribution::revision_confirmation& word);
+    void on_confirmation(const hello& from, const distribution::revision_confirmation& confirmation);
 
     void on_leader_named(const std::string& name);
 
-    void note_confirmed();
+    void update_confirmation_time();
 
-    void note_places();
+    void apply_zone_changes();
 
-    void put_in_force();
+    void apply_configuration();
 
-    void tell_peers(service_lane& lane);
+    void send_reachable_peers(service_runner& runner);
 
-    void tell_list(service_lane& lane);
+    void send_platform_list(service_runner& runner);
 
-    void want_peers();
+    void update_links();
 
     void configure_pools(const placement& placed, const placement* before);
 
-    bool first_owner(const service_name& service, int shard, const placement& placed) const;
+    bool is_first_reachable_owner(const service_name& service, int shard, const placement& placed) const;
 
     void report();
 
-    /// @return whether its configuration was ever confirmed, so that it serves callers
+    /// @return whether a leader has confirmed the configuration since the start, so that callers are served
     bool serves() const noexcept
     {
         return confirmed_at_us.load(std::memory_order_relaxed) != 0;
     }
 
-    // ------------------------------------------------------------------ the platform's list
+    // ------------------------------------------------------------------ instance list of the platform
 
     void poll_platform();
 
-    void on_list(const nlohmann::json& list);
+    void on_platform_list(const nlohmann::json& list);
 
-    // ------------------------------------------------------------------ life
+    // ------------------------------------------------------------------ start, stop and timers
 
-    /// After a suspension, what was due meanwhile is done at once, before its timers go off.
+    /// After a suspension of the instance, handles all expired deadlines at once. Timers don't count the time
+    /// of the suspension, so they would fire late.
     void check_suspension();
 
-    /// @brief Does @a work once, unless the timer is stopped or set anew before.
+    /// @brief Calls @a work once after @a pause, unless the timer is cancelled or set again before that.
     template <typename Work>
     void after(net::steady_timer& timer, duration pause, Work work)
     {
@@ -318,7 +336,8 @@
             });
     }
 
-    /// @param every tells how long to wait until the next time
+    /// @brief Calls @a work repeatedly.
+    /// @param every returns the pause before the next call
     template <typename Interval, typename Work>
     void repeat(net::steady_timer& timer, Interval every, Work work)
     {
@@ -346,7 +365,7 @@
 
     void drain();
 
-    void check_drained(int quiet_checks);
+    void check_drained(int idle_checks);
 };
 
 } // namespace flaxtiller::shell
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -12,10 +12,11 @@
 namespace
 {
 
-constexpr duration link_tick = duration::from_ms(20);
-/// Links are looked at this often in a heartbeat, but no more often than @ref link_tick.
-constexpr double link_tick_share = 0.25;
-constexpr duration pools_every = duration::from_ms(1000);
+constexpr duration min_link_poll_interval = duration::from_ms(20);
+/// The interval for polling links, as a fraction of the heartbeat interval; at least
+/// @ref min_link_poll_interval.
+constexpr double link_poll_share = 0.25;
+constexpr duration pool_update_interval = duration::from_ms(1000);
 
 } // namespace
 
@@ -41,7 +42,7 @@
 {
     service_coordinator::options options;
     options.scheduling = settings.dispatch;
-    options.most_queries = static_cast<std::size_t>(settings.most_queries_per_service);
+    options.max_open_queries = static_cast<std::size_t>(settings.most_queries_per_service);
     return options;
 }
 
@@ -77,7 +78,7 @@
 
 void entry_process::implementation::check_suspension()
 {
-    const duration span = suspensions.since_last();
+    const duration span = suspension_detector.since_last();
     if (span == duration{})
     {
         return;
@@ -85,53 +86,55 @@
     log(log_level::warning, "was_suspended", {{"for_ms", span.ms()}});
     if (routed)
     {
-        routed->catch_up();
+        routed->handle_due_timers();
     }
-    for (const auto& [service, lane] : table.load()->lanes)
+    for (const auto& [service, runner] : current_snapshot.load()->runners)
     {
-        lane->post(time_passed{});
+        runner->post(time_passed{});
     }
 }
 
 void entry_process::implementation::drain()
 {
     draining = true;
-    drain_until = clock.now() + duration::from_ms(settings.drain_bound_ms);
-    drain_end = drain_until + duration::from_ms(settings.drain_bound_ms * settings.drain_end_share);
-    drained_at_least = clock.now() + duration::from_ms(settings.least_drain_ms);
+    drain_deadline = clock.now() + duration::from_ms(settings.drain_bound_ms);
+    final_answers_at = drain_deadline + duration::from_ms(settings.drain_bound_ms * settings.drain_end_share);
+    earliest_drain_end = clock.now() + duration::from_ms(settings.least_drain_ms);
     if (routed)
     {
         routed->close_after_reply();
     }
     log(log_level::info, "draining",
         {{"in_flight", callers.in_flight()}, {"bound_ms", settings.drain_bound_ms}});
-    // New connections go on being accepted until the balancer has noticed; see docs/OPERATIONS.md.
+    // New connections are accepted until the load balancer has removed this instance; see docs/OPERATIONS.md.
     check_drained(0);
 }
 
-void entry_process::implementation::check_drained(int quiet_checks)
+void entry_process::implementation::check_drained(int idle_checks)
 {
     constexpr duration check_every = duration::from_ms(50);
-    constexpr int quiet_needed = 20;
-    // For the last answers to leave: some ways to callers, within the tenth that a stop keeps back.
-    constexpr duration last_answers = duration::from_ms(200);
+    constexpr int idle_checks_needed = 20;
+    // Time for the final answers to reach their callers: several one-way latencies, within the tenth of the
+    // drain bound that is reserved for the end of the process.
+    constexpr duration final_answer_grace = duration::from_ms(200);
     std::size_t open = callers.in_flight() + (routed ? routed->in_flight() : 0);
-    for (const auto& [name, lane] : table.load()->lanes)
+    for (const auto& [name, runner] : current_snapshot.load()->runners)
     {
-        open += lane->open_queries();
+        open += runner->open_queries();
     }
-    const int quiet = open == 0 ? quiet_checks + 1 : 0;
+    const int consecutive_idle = open == 0 ? idle_checks + 1 : 0;
     const time_point now = clock.now();
-    const bool quiet_long = quiet >= quiet_needed && now >= drained_at_least;
-    if (quiet_long || (now >= drain_until && open == 0) || now >= drain_end + last_answers)
+    const bool idle_long_enough = consecutive_idle >= idle_checks_needed && now >= earliest_drain_end;
+    if (idle_long_enough || (now >= drain_deadline && open == 0) ||
+        now >= final_answers_at + final_answer_grace)
     {
         log(log_level::info, "stopped", {{"in_flight", open}});
         io.stop();
         return;
     }
-    if (now >= drain_until && !closing)
+    if (now >= drain_deadline && !closing)
     {
-        // Callers that still use their connections find them closed; what was read is answered.
+        // Closes the connections that callers still use. Requests that were already read are answered.
         closing = true;
         callers.drain();
         if (routed)
@@ -139,10 +142,11 @@
             routed->drain();
         }
     }
-    if (now >= drain_end && !answered_all)
+    if (now >= final_answers_at && !final_answers_sent)
     {
-        // Ending with them open would cut requests that were passed on, without a word to their callers.
-        answered_all = true;
+        // Ending the process now would drop requests that were already forwarded, without an answer to their
+        // callers.
+        final_answers_sent = true;
         log(log_level::warning, "drain_bound_reached", {{"in_flight", open}});
         if (routed)
         {
@@ -150,9 +154,9 @@
         }
     }
     after(drain_timer, check_every,
-          [this, quiet]
+          [this, consecutive_idle]
           {
-              check_drained(quiet);
+              check_drained(consecutive_idle);
           });
 }
 
@@ -190,15 +194,16 @@
 int entry_process::run()
 {
     implementation& self = *m_implementation;
-    self.links.want(self.settings.control);
+    self.links.set_peers(self.settings.control);
     self.links.start();
     self.repeat(
         self.link_timer,
         [&self]
         {
-            // Callers wait for the first link to control.
-            return self.serves() ? std::max(link_tick, self.settings.links.heartbeat * link_tick_share)
-                                 : link_tick;
+            // Callers are refused until the first link to a control replica is established.
+            return self.serves()
+                       ? std::max(min_link_poll_interval, self.settings.links.heartbeat * link_poll_share)
+                       : min_link_poll_interval;
         },
         [&self]
         {
@@ -210,13 +215,13 @@
                 {
                     self.report();
                 });
-    self.repeat(self.pools_timer, pools_every,
+    self.repeat(self.pools_timer, pool_update_interval,
                 [&self]
                 {
-                    const auto now_in_force = self.table.load();
-                    if (now_in_force->placed)
+                    const auto snapshot = self.current_snapshot.load();
+                    if (snapshot->placed)
                     {
-                        self.configure_pools(*now_in_force->placed, nullptr);
+                        self.configure_pools(*snapshot->placed, nullptr);
                     }
                 });
     self.on_signal();
--- /dev/null
+++ b/src/entry/known_control_replicas.hpp
@@ -0,0 +1,106 @@
+#pragma once
+
+#include "shell/settings.hpp"
+
+#include <algorithm>
+#include <map>
+#include <string>
+#include <utility>
+#include <vector>
+
+namespace flaxtiller::shell
+{
+
+/// @brief The control replicas that an entry can contact: the replicas named in the settings of the entry,
+/// and every replica on the member list of any reachable replica.
+///
+/// The result is the union of all member lists, so a list that lacks a replica doesn't remove a replica that
+/// another list names. A replica that lost its data lists only the founding members until it has received the
+/// replicated log again, and the leader may not be one of the founding members.
+class known_control_replicas
+{
+  public:
+    explicit known_control_replicas(std::vector<named_address> configured)
+        : m_configured(std::move(configured)), m_replicas(m_configured)
+    {
+    }
+
+    /// @brief Stores the member list that a replica sent; it replaces the previous list of this replica.
+    /// @param from name of the sending replica
+    /// @param names link addresses of all members in the log of the sending replica
+    /// @return whether the set of known replicas changed
+    bool on_member_list(const std::string& from, const std::vector<std::string>& names)
+    {
+        m_reported[from] = names;
+        return update();
+    }
+
+    /// @brief Discards the member list of a replica that became unreachable, unless it is the only list.
+    /// @return whether the set of known replicas changed
+    bool on_unreachable(const std::string& from)
+    {
+        if (m_reported.size() < 2)
+        {
+            return false;
+        }
+        return m_reported.erase(from) > 0 && update();
+    }
+
+    /// @return the addresses of the known replicas, starting with the replicas from the settings
+    const std::vector<named_address>& addresses() const noexcept
+    {
+        return m_replicas;
+    }
+
+    /// @return the name of the known replica that sorts first; empty if no replica is known
+    std::string first_by_name() const
+    {
+        const auto least = std::min_element(m_replicas.begin(), m_replicas.end(),
+                                            [](const named_address& a, const named_address& b)
+                                            {
+                                                return a.name < b.name;
+                                            });
+        return least == m_replicas.end() ? std::string() : least->name;
+    }
+
+    /// @return whether a replica with this name is known
+    bool knows(const std::string& name) const
+    {
+        return holds(m_replicas, name);
+    }
+
+  private:
+    static bool holds(const std::vector<named_address>& list, const std::string& name)
+    {
+        return std::any_of(list.begin(), list.end(),
+                           [&](const named_address& item)
+                           {
+                               return item.name == name;
+                           });
+    }
+
+    bool update()
+    {
+        std::vector<named_address> next = m_configured;
+        for (const auto& [from, names] : m_reported)
+        {
+            for (const std::string& name : names)
+            {
+                const auto at = parse_address(name);
+                if (at && !holds(next, name))
+                {
+                    next.push_back({name, *at});
+                }
+            }
+        }
+        const bool changed = !(next == m_replicas);
+        m_replicas = std::move(next);
+        return changed;
+    }
+
+    std::vector<named_address> m_configured;
+    std::map<std::string, std::vector<std::string>> m_reported;
+    std::vector<named_address> m_replicas;
+};
+
+} // namespace flaxtiller::shell
--- a/src/routing/caller_admission.cpp
+++ b/src/routing/caller_admission.cpp
@@ -28,19 +28,19 @@
     m_actions.emplace_back(admit_request{number, std::make_shared<const routed_request>(std::move(request))});
 }
 
-void caller_admission::turn_away(request_number number, routed_end end, const std::string& route,
-                                 std::optional<rate_limiter::decision> over_limit)
+void caller_admission::reject(request_number number, routed_end end, const std::string& route,
+                              std::optional<rate_limiter::decision> over_limit)
 {
-    routed_outcome told;
-    told.end = end;
-    told.route = route;
-    told.revision = m_revision;
+    routed_outcome result;
+    result.end = end;
+    result.route = route;
+    result.revision = m_revision;
     if (over_limit)
     {
-        told.retry_after = over_limit->retry_after;
+        result.retry_after = over_limit->retry_after;
         ++m_counted[over_limit->team].over_limit;
     }
-    m_actions.emplace_back(turn_away_request{number, std::move(told), std::move(over_limit)});
+    m_actions.emplace_back(reject_request{number, std::move(result), std::move(over_limit)});
 }
 
 void caller_admission::arrive(request_number number, routed_request request, const std::string& key,
@@ -48,16 +48,16 @@
 {
     if (!m_teams)
     {
-        // No revision yet: the router refuses it.
+        // There is no configuration yet: the router refuses the request.
         admit(number, std::move(request));
         return;
     }
     const auto by = m_routes->find(request.host, request.target);
     const std::string route = by ? by->name : std::string();
     const authentication caller = m_teams->authenticate(by.get(), key);
-    if (!caller.is_allowed)
+    if (!caller.is_authorized)
     {
-        turn_away(number, routed_end::unauthorized, route);
+        reject(number, routed_end::unauthorized, route);
         return;
     }
     if (caller.by == nullptr)
@@ -71,37 +71,37 @@
         admit(number, std::move(request));
         return;
     }
-    const rate_limiter::decision made = m_limiter.admit(number, *caller.by, now);
-    if (made.what == rate_limiter::verdict::asked)
+    const rate_limiter::decision limiter_decision = m_limiter.admit(number, *caller.by, now);
+    if (limiter_decision.what == rate_limiter::verdict::awaiting_coordinator)
     {
         m_held.emplace(number, held_request{std::move(request), route, now});
         return;
     }
-    take(made, std::move(request), route);
+    apply(limiter_decision, std::move(request), route);
 }
 
-void caller_admission::take(const rate_limiter::decision& made, routed_request request,
-                            const std::string& route)
+void caller_admission::apply(const rate_limiter::decision& limiter_decision, routed_request request,
+                             const std::string& route)
 {
-    if (made.what == rate_limiter::verdict::admitted)
+    if (limiter_decision.what == rate_limiter::verdict::admitted)
     {
-        admit(made.request, std::move(request));
+        admit(limiter_decision.request, std::move(request));
         return;
     }
-    turn_away(made.request, routed_end::over_limit, route, made);
+    reject(limiter_decision.request, routed_end::over_limit, route, limiter_decision);
 }
 
 void caller_admission::caller_gone(request_number number)
 {
     if (m_held.erase(number) > 0)
     {
-        m_limiter.forget(number);
+        m_limiter.cancel_request(number);
     }
 }
 
-void caller_admission::on_limit_word(const limit_word& word, time_point now)
+void caller_admission::on_limit_update(const limit_update& word, time_point now)
 {
-    m_limiter.on_word(word, now);
+    m_limiter.on_limit_update(word, now);
 }
 
 void caller_admission::on_time(time_point now)
@@ -111,22 +111,22 @@
 
 std::vector<admission_action> caller_admission::take_actions(time_point now)
 {
-    for (const rate_limiter::decision& made : m_limiter.take_decisions())
+    for (const rate_limiter::decision& limiter_decision : m_limiter.take_decisions())
     {
-        const auto found = m_held.find(made.request);
+        const auto found = m_held.find(limiter_decision.request);
         if (found == m_held.end())
         {
             continue;
         }
         held_request held = std::move(found->second);
         m_held.erase(found);
-        // The caller has been waiting.
+        // The time spent waiting for the decision counts against the caller's time-out.
         held.request.patience = std::max(held.request.patience - (now - held.since), duration{});
-        take(made, std::move(held.request), held.route);
+        apply(limiter_decision, std::move(held.request), held.route);
     }
     if (auto report = m_limiter.take_report(now))
     {
-        m_actions.emplace_back(report_use{std::move(*report)});
+        m_actions.emplace_back(send_limit_report{std::move(*report)});
     }
     return std::exchange(m_actions, {});
 }
--- a/src/routing/group_choice.cpp
+++ b/src/routing/group_choice.cpp
@@ -12,28 +12,28 @@
     {
         if (view.unreachable->count(peer) == 0)
         {
-            // It is back.
-            m_passed_over.erase(peer);
+            // The entry is reachable again, so an earlier failure no longer counts.
+            m_backoffs.erase(peer);
         }
     }
     m_unreachable = view.unreachable;
     m_plan.update(view);
 }
 
-bool group_choice::may_ask(const instance_name& peer, time_point now) const
+bool group_choice::is_available(const instance_name& peer, time_point now) const
 {
-    const auto passed_over = m_passed_over.find(peer);
+    const auto passed_over = m_backoffs.find(peer);
     return m_unreachable->count(peer) == 0 &&
-           (passed_over == m_passed_over.end() || passed_over->second.until <= now);
+           (passed_over == m_backoffs.end() || passed_over->second.until <= now);
 }
 
-std::optional<instance_name> group_choice::first_of(const shard_plan::group& item, time_point now)
+std::optional<instance_name> group_choice::first_available(const shard_plan::group& item, time_point now)
 {
-    const std::size_t from = item.in_turn ? m_turn++ : 0;
-    for (std::size_t i = 0; i < item.runners.size(); ++i)
+    const std::size_t from = item.is_round_robin ? m_next_start++ : 0;
+    for (std::size_t i = 0; i < item.runner_candidates.size(); ++i)
     {
-        const instance_name& peer = item.runners[(from + i) % item.runners.size()];
-        if (peer == m_self || may_ask(peer, now))
+        const instance_name& peer = item.runner_candidates[(from + i) % item.runner_candidates.size()];
+        if (peer == m_self || is_available(peer, now))
         {
             return peer;
         }
@@ -41,12 +41,12 @@
     return std::nullopt;
 }
 
-std::vector<group_choice::group> group_choice::groups_of(const route& by, time_point now)
+std::vector<group_choice::group> group_choice::groups_of(const route& matched_route, time_point now)
 {
     std::vector<group> groups;
-    for (const shard_plan::group& item : m_plan.groups_of(by))
+    for (const shard_plan::group& item : m_plan.groups_of(matched_route))
     {
-        const auto peer = first_of(item, now);
+        const auto peer = first_available(item, now);
         if (peer && *peer != m_self)
         {
             groups.push_back({*peer, item.shards});
@@ -55,45 +55,46 @@
     return groups;
 }
 
-std::optional<instance_name> group_choice::another(const route& by, std::size_t first_shard,
-                                                   const instance_name& failed, time_point now)
+std::optional<instance_name> group_choice::next_runner(const route& matched_route, std::size_t first_shard,
+                                                       const instance_name& failed, time_point now)
 {
-    for (const shard_plan::group& item : m_plan.groups_of(by))
+    for (const shard_plan::group& item : m_plan.groups_of(matched_route))
     {
         if (item.shards.empty() || item.shards.front() != first_shard)
         {
             continue;
         }
-        if (item.in_turn)
+        if (item.is_round_robin)
         {
-            // None of them is nearer to it than this one is.
+            // No other candidate is closer to the replicas, so this instance runs the group itself.
             return m_self;
         }
-        const auto found = std::find_if(item.runners.begin(), item.runners.end(),
-                                        [&](const instance_name& peer)
-                                        {
-                                            return peer != failed && (peer == m_self || may_ask(peer, now));
-                                        });
-        return found == item.runners.end() ? std::nullopt : std::optional(*found);
+        const auto found =
+            std::find_if(item.runner_candidates.begin(), item.runner_candidates.end(),
+                         [&](const instance_name& peer)
+                         {
+                             return peer != failed && (peer == m_self || is_available(peer, now));
+                         });
+        return found == item.runner_candidates.end() ? std::nullopt : std::optional(*found);
     }
     return std::nullopt;
 }
 
 void group_choice::failed(const instance_name& peer, time_point now)
 {
-    failures& known = m_passed_over[peer];
+    failures& known = m_backoffs[peer];
     if (known.until > now)
     {
-        // Other requests that were under way failed with it.
+        // Other open requests failed for the same reason: the back-off is extended once only.
         return;
     }
-    known.length = std::clamp(known.length * 2.0, pass_over, most_pass_over);
+    known.length = std::clamp(known.length * 2.0, backoff, max_backoff);
     known.until = now + known.length;
 }
 
 void group_choice::answered(const instance_name& peer)
 {
-    m_passed_over.erase(peer);
+    m_backoffs.erase(peer);
 }
 
 } // namespace flaxtiller
--- a/src/routing/route.cpp
+++ b/src/routing/route.cpp
@@ -15,7 +15,7 @@
 
 constexpr double hour_ms = 3600000.0;
 constexpr int most_weight = 1000000;
-constexpr int most_records = 1000000;
+constexpr int max_records = 1000000;
 constexpr int highest_priority = 1000;
 constexpr int most_attempts_allowed = 100;
 
@@ -65,7 +65,7 @@
 {
     if (value.targets.empty() == value.fan_out.empty())
     {
-        reader.found().error(errc::key_clash, reader.at("targets"),
+        reader.found().error(errc::key_conflict, reader.at("targets"),
                              "either targets or fan_out must be given");
         return;
     }
@@ -132,7 +132,7 @@
     reader.require("path_prefix");
     reader.text("path_prefix", into.path_prefix);
     reader.flag("repeatable", into.repeatable);
-    // A time-out below a microsecond would be stored as zero: no request could ever be answered.
+    // A time-out below a microsecond would be stored as zero, and no request could be answered in time.
     read_span(reader, "timeout_ms", into.timeout, 0.001);
     read_span(reader, "objective_ms", into.objective, 0.0);
     reader.number("priority", into.priority, 0, highest_priority);
@@ -141,7 +141,7 @@
     read_fan_out(reader, into.fan_out);
     read_allowed_regions(reader, into.allowed_regions);
     reader.flag("allows_anonymous", into.allows_anonymous);
-    reader.number("top_records", into.top_records, 0, most_records);
+    reader.number("top_records", into.top_records, 0, max_records);
     reader.number("least_share", into.least_share, 0.0, 1.0);
     const bool slashes =
         into.path_prefix.size() > 0 && into.path_prefix.front() == '/' && into.path_prefix.back() == '/';
--- a/src/routing/router_answers.cpp
+++ b/src/routing/router_answers.cpp
@@ -1,4 +1,4 @@
-// When and how a request is answered.
+// Final and partial answers: when a request is answered, and with which outcome.
 
 #include <flaxtiller/routing/router.hpp>
 
@@ -10,21 +10,21 @@
 namespace flaxtiller
 {
 
-/// What another entry asked for is of use to it whatever its share.
+/// A delegating entry can use any share of the delegated shards.
 double router::least_share_of(const open_request& opened) const
 {
-    return opened.request->is_asked() ? 0.0 : opened.by->least_share;
+    return opened.request->is_delegated() ? 0.0 : opened.matched_route->least_share;
 }
 
-bool router::enough_in(const open_request& opened) const
+bool router::has_min_share(const open_request& opened) const
 {
-    const auto wanted = least_share_of(opened) * static_cast<double>(opened.parts.size());
-    return opened.in > 0 && static_cast<double>(opened.in) >= wanted;
+    const auto required = least_share_of(opened) * static_cast<double>(opened.parts.size());
+    return opened.succeeded > 0 && static_cast<double>(opened.succeeded) >= required;
 }
 
 void router::settle(request_number number, open_request& opened, time_point now)
 {
-    if (opened.by->fans_out())
+    if (opened.matched_route->fans_out())
     {
         settle_fan_out(number, opened, now);
     }
@@ -36,14 +36,14 @@
 
 void router::settle_single(request_number number, open_request& opened)
 {
-    const part& asked = opened.parts.front();
-    // Also a failure is the backend server's word: it is passed on where no success came.
-    if (asked.answer)
+    const part& item = opened.parts.front();
+    // An error answer of the backend server is forwarded too if no attempt succeeded.
+    if (item.answer)
     {
-        routed_outcome told;
-        told.end = routed_end::passed_on;
-        told.answer = asked.answer;
-        finish(number, opened, std::move(told));
+        routed_outcome result;
+        result.end = routed_end::passed_on;
+        result.answer = item.answer;
+        finish(number, opened, std::move(result));
         return;
     }
     fail(number, opened, opened.reason == missing_reason::late);
@@ -52,17 +52,18 @@
 void router::settle_fan_out(request_number number, open_request& opened, time_point now)
 {
     const auto all = static_cast<int>(opened.parts.size());
-    const bool complete = opened.in + opened.missing == all;
-    // An entry that asked has what was in at its objective; what comes later may still be of use to it.
-    const bool may_stop = opened.past_objective && !opened.request->is_asked();
-    if (enough_in(opened) && (complete || may_stop))
+    const bool complete = opened.succeeded + opened.missing == all;
+    // A delegating entry has received a partial outcome at its objective, and may still use later parts.
+    const bool may_stop = opened.past_objective && !opened.request->is_delegated();
+    if (has_min_share(opened) && (complete || may_stop))
     {
         merge(number, opened);
         return;
     }
-    const auto most_in = static_cast<double>(all - opened.missing);
-    const bool hopeless = most_in < least_share_of(opened) * static_cast<double>(all) || most_in == 0.0;
-    if (hopeless || complete)
+    const auto max_succeeded = static_cast<double>(all - opened.missing);
+    const bool is_share_unreachable =
+        max_succeeded < least_share_of(opened) * static_cast<double>(all) || max_succeeded == 0.0;
+    if (is_share_unreachable || complete)
     {
         fail(number, opened, now >= opened.deadline);
     }
@@ -73,73 +74,74 @@
     finish(number, opened, merged_so_far(opened));
 }
 
-std::size_t router::parts_in(const open_request& opened)
+std::size_t router::succeeded_parts(const open_request& opened)
 {
     auto count = static_cast<std::size_t>(std::count_if(opened.parts.begin(), opened.parts.end(),
-                                                        [](const part& asked)
+                                                        [](const part& item)
                                                         {
-                                                            return asked.is_in();
+                                                            return item.has_succeeded();
                                                         }));
-    for (const group& asked : opened.groups)
+    for (const group& delegated_group : opened.groups)
     {
-        count += asked.outcome.signatures.size();
+        count += delegated_group.outcome.signatures.size();
     }
     return count;
 }
 
 routed_outcome router::merged_so_far(const open_request& opened) const
 {
-    routed_outcome told;
-    told.end = routed_end::merged;
+    routed_outcome result;
+    result.end = routed_end::merged;
     std::vector<std::string_view> bodies;
-    for (const part& asked : opened.parts)
+    for (const part& item : opened.parts)
     {
-        if (asked.is_in() && !asked.told)
+        if (item.has_succeeded() && !item.is_reported)
         {
-            bodies.emplace_back(asked.answer->body);
-            told.signatures.push_back(asked.answer->signature);
+            bodies.emplace_back(item.answer->body);
+            result.signatures.push_back(item.answer->signature);
         }
     }
-    for (const group& asked : opened.groups)
+    for (const group& delegated_group : opened.groups)
     {
-        if (!asked.outcome.signatures.empty())
+        if (!delegated_group.outcome.signatures.empty())
         {
-            bodies.emplace_back(asked.outcome.merged);
-            told.signatures.insert(told.signatures.end(), asked.outcome.signatures.begin(),
-                                   asked.outcome.signatures.end());
-            told.elsewhere.push_back(asked.answered_by);
+            bodies.emplace_back(delegated_group.outcome.merged);
+            result.signatures.insert(result.signatures.end(), delegated_group.outcome.signatures.begin(),
+                                     delegated_group.outcome.signatures.end());
+            result.delegates.push_back(delegated_group.answered_by);
         }
     }
-    // Not the length of the list of missing ones: what is named as in must be true whatever other entries say
-    // of the rest.
-    told.missing = static_cast<int>(opened.parts.size() - parts_in(opened));
-    told.merged = top_records(bodies, static_cast<std::size_t>(opened.by->top_records));
-    return told;
+    // Computed from the received signatures, not from the lists of missing shards that other entries sent:
+    // the count must match the parts in the answer.
+    result.missing = static_cast<int>(opened.parts.size() - succeeded_parts(opened));
+    result.merged = top_records(bodies, static_cast<std::size_t>(opened.matched_route->top_records));
+    return result;
 }
 
-/// The entry that asked sees by this that its request is being run, and has the parts if the rest comes late.
-void router::tell_progress(request_number number, open_request& opened, time_point now)
+/// Shows the delegating entry that its request is being run, and hands over the parts that have succeeded in
+/// case the rest is too late.
+void router::send_progress(request_number number, open_request& opened, time_point now)
 {
-    routed_outcome told = merged_so_far(opened);
+    routed_outcome result = merged_so_far(opened);
     const bool first = opened.progress_at != time_point::never();
-    if (!first && told.signatures.empty())
+    if (!first && result.signatures.empty())
     {
-        // Nothing new.
+        // There are no new parts to send.
         return;
     }
-    told.is_progress = true;
-    describe(opened, told);
-    told.took = now - opened.arrived_at;
-    for (part& asked : opened.parts)
+    result.is_progress = true;
+    describe(opened, result);
+    result.took = now - opened.arrived_at;
+    for (part& item : opened.parts)
     {
-        asked.told = asked.is_in();
+        item.is_reported = item.has_succeeded();
     }
-    m_actions.emplace_back(tell_progress_to_entry{number, std::move(told)});
+    m_actions.emplace_back(send_partial_outcome{number, std::move(result)});
 }
 
 void router::end_at_deadline(request_number number, open_request& opened)
 {
-    if (opened.by->fans_out() && enough_in(opened))
+    if (opened.matched_route->fans_out() && has_min_share(opened))
     {
         merge(number, opened);
         return;
@@ -154,7 +156,7 @@
     {
         numbers.push_back(number);
     }
-    // In the order of their arrival, so that the same events give the same actions.
+    // In order of arrival, so that equal events give equal actions.
     std::sort(numbers.begin(), numbers.end());
     for (const request_number number : numbers)
     {
@@ -165,49 +167,49 @@
 void router::fail(request_number number, open_request& opened, bool late)
 {
     const bool running = std::any_of(opened.parts.begin(), opened.parts.end(),
-                                     [](const part& asked)
+                                     [](const part& item)
                                      {
-                                         return !asked.over;
+                                         return !item.is_finished;
                                      });
-    routed_outcome told;
-    told.end = routed_end::refused;
-    const bool asked_elsewhere = std::any_of(opened.groups.begin(), opened.groups.end(),
-                                             [](const group& asked)
-                                             {
-                                                 return !asked.over;
-                                             });
-    if (opened.may_have_run || (running && opened.attempts > 0) || asked_elsewhere)
-    {
-        told.end = late ? routed_end::late : routed_end::failed;
-    }
-    told.retry_after = std::max(opened.retry_after, m_options.least_retry);
-    finish(number, opened, std::move(told));
+    routed_outcome result;
+    result.end = routed_end::refused;
+    const bool is_delegation_pending = std::any_of(opened.groups.begin(), opened.groups.end(),
+                                                   [](const group& delegated_group)
+                                                   {
+                                                       return !delegated_group.is_finished;
+                                                   });
+    if (opened.may_have_run || (running && opened.attempts > 0) || is_delegation_pending)
+    {
+        result.end = late ? routed_end::late : routed_end::failed;
+    }
+    result.retry_after = std::max(opened.retry_after, m_options.min_retry_after);
+    finish(number, opened, std::move(result));
 }
 
 std::vector<std::size_t> router::missing_shards(const open_request& opened)
 {
     std::vector<std::size_t> missing;
-    if (!opened.by->fans_out())
+    if (!opened.matched_route->fans_out())
     {
         return missing;
     }
-    std::vector<bool> known_elsewhere(opened.parts.size(), false);
-    for (const group& asked : opened.groups)
+    std::vector<bool> known_from_group(opened.parts.size(), false);
+    for (const group& delegated_group : opened.groups)
     {
-        if (asked.outcome.signatures.empty())
+        if (delegated_group.outcome.signatures.empty())
         {
             continue;
         }
-        missing.insert(missing.end(), asked.outcome.missing_shards.begin(),
-                       asked.outcome.missing_shards.end());
-        for (const std::size_t at : asked.parts)
+        missing.insert(missing.end(), delegated_group.outcome.missing_shards.begin(),
+                       delegated_group.outcome.missing_shards.end());
+        for (const std::size_t at : delegated_group.parts)
         {
-            known_elsewhere[at] = true;
+            known_from_group[at] = true;
         }
     }
     for (std::size_t at = 0; at < opened.parts.size(); ++at)
     {
-        if (!known_elsewhere[at] && !opened.parts[at].is_in())
+        if (!known_from_group[at] && !opened.parts[at].has_succeeded())
         {
             missing.push_back(opened.parts[at].shard);
         }
@@ -217,7 +219,7 @@
 
 void router::describe(const open_request& opened, routed_outcome& outcome)
 {
-    outcome.route = opened.by->name;
+    outcome.route = opened.matched_route->name;
     outcome.revision = opened.revision;
     outcome.attempts = opened.attempts;
     outcome.missing_shards = missing_shards(opened);
@@ -228,15 +230,15 @@
     describe(opened, outcome);
     for (const std::size_t shard : outcome.missing_shards)
     {
-        outcome.missing_services.push_back(opened.by->fan_out.at(shard));
+        outcome.missing_services.push_back(opened.matched_route->fan_out.at(shard));
     }
     outcome.reason = opened.reason;
-    abandon_asks(opened, false);
+    abandon_delegations(opened, false);
     m_timers.erase({opened.timer_at, number});
     detach_parts(opened);
-    if (opened.request->is_asked())
+    if (opened.request->is_delegated())
     {
-        // The entry that asked may ask another one else, and doesn't know yet.
+        // Without the crash record the delegating entry might delegate the request to another entry.
         outcome.crashes = std::move(opened.crashes);
     }
     m_open.erase(number);
--- a/src/routing/router_suspects.cpp
+++ b/src/routing/router_quarantine.cpp
@@ -1,4 +1,5 @@
-// Requests that may crash the backend servers that run them: held back, tried, or ended.
+// Requests suspected of crashing the backend servers that run them: these are held back, tested by a trial
+// attempt, and released or refused.
 
 #include <flaxtiller/routing/router.hpp>
 
@@ -9,7 +10,7 @@
 namespace flaxtiller
 {
 
-using standing = crash_ledger::standing;
+using quarantine_state = crash_ledger::quarantine_state;
 
 const request_fingerprint& router::fingerprint_of(open_request& opened)
 {
@@ -20,9 +21,10 @@
     return *opened.fingerprint;
 }
 
-standing router::standing_of(open_request& opened, time_point now) const
+quarantine_state router::quarantine_state_of(open_request& opened, time_point now) const
 {
-    return m_crashes.empty() ? standing::clear : m_crashes.standing_of(fingerprint_of(opened), now);
+    return m_crashes.empty() ? quarantine_state::clear
+                             : m_crashes.quarantine_state_of(fingerprint_of(opened), now);
 }
 
 // ---------------------------------------------------------------------------------------------------------
@@ -31,8 +33,8 @@
 
 std::int64_t router::born_ms_of(const started& attempt) const
 {
-    const auto at = m_lanes.find(attempt.at);
-    if (at == m_lanes.end())
+    const auto at = m_service_schedulers.find(attempt.scheduler_id);
+    if (at == m_service_schedulers.end())
     {
         return 0;
     }
@@ -52,16 +54,16 @@
 void router::observe_crash(const started& ended, time_point now)
 {
     const auto found = m_open.find(ended.request);
-    if (found != m_open.end() && found->second.in > 0)
+    if (found != m_open.end() && found->second.succeeded > 0)
     {
-        // Other backend servers ran it to a good end.
+        // Other backend servers have answered the request, so the crash had another cause.
         return;
     }
     const request_fingerprint fingerprint =
         found != m_open.end() ? fingerprint_of(found->second) : flaxtiller::fingerprint_of(*ended.sent);
-    const standing before = m_crashes.standing_of(fingerprint, now);
+    const quarantine_state before = m_crashes.quarantine_state_of(fingerprint, now);
     m_crashes.on_crash(fingerprint, {ended.server, born_ms_of(ended), ended.on_trial}, now);
-    if (m_crashes.standing_of(fingerprint, now) != standing::clear)
+    if (m_crashes.quarantine_state_of(fingerprint, now) != quarantine_state::clear)
     {
         m_next_trial_at = now + m_options.trial_pause;
     }
@@ -69,7 +71,7 @@
     {
         found->second.crashes = {m_crashes.record_of(fingerprint, now)};
     }
-    on_standing(fingerprint, before, now);
+    on_quarantine_state(fingerprint, before, now);
 }
 
 void router::observe_answer(const started& ended, time_point now)
@@ -77,40 +79,40 @@
     const auto found = m_open.find(ended.request);
     const request_fingerprint fingerprint =
         found != m_open.end() ? fingerprint_of(found->second) : flaxtiller::fingerprint_of(*ended.sent);
-    if (m_crashes.has_crashed(fingerprint, now))
+    if (m_crashes.has_uncleared_crash(fingerprint, now))
     {
-        const standing before = m_crashes.standing_of(fingerprint, now);
+        const quarantine_state before = m_crashes.quarantine_state_of(fingerprint, now);
         m_crashes.on_answer(fingerprint, now);
-        on_standing(fingerprint, before, now);
+        on_quarantine_state(fingerprint, before, now);
     }
 }
 
-void router::take_in(const std::vector<crash_record>& records, time_point now)
+void router::merge_crash_records(const std::vector<crash_record>& records, time_point now)
 {
-    for (const crash_record& told : records)
+    for (const crash_record& reported : records)
     {
-        const standing before = m_crashes.standing_of(told.request, now);
-        if (m_crashes.merge(told, now))
+        const quarantine_state before = m_crashes.quarantine_state_of(reported.request, now);
+        if (m_crashes.merge(reported, now))
         {
-            on_standing(told.request, before, now);
+            on_quarantine_state(reported.request, before, now);
         }
     }
 }
 
 void router::on_crash_records(const std::vector<crash_record>& records, time_point now)
 {
-    take_in(records, now);
-    // Who told it tells the others, too.
+    merge_crash_records(records, now);
+    // The sender distributes the records to the other processes itself.
     (void)m_crashes.take_changes(now);
-    settle_held(now);
+    process_held(now);
 }
 
-void router::tell_crashes(time_point now)
+void router::publish_crash_changes(time_point now)
 {
     std::vector<crash_record> changes = m_crashes.take_changes(now);
     if (!changes.empty())
     {
-        m_actions.emplace_back(tell_crash_records{std::move(changes)});
+        m_actions.emplace_back(publish_crash_records{std::move(changes)});
     }
 }
 
@@ -118,22 +120,24 @@
 // holding back
 // ---------------------------------------------------------------------------------------------------------
 
-void router::on_standing(const request_fingerprint& fingerprint, standing before, time_point now)
+void router::on_quarantine_state(const request_fingerprint& fingerprint, quarantine_state before,
+                                 time_point now)
 {
-    const standing after = m_crashes.standing_of(fingerprint, now);
+    const quarantine_state after = m_crashes.quarantine_state_of(fingerprint, now);
     if (after == before)
     {
         return;
     }
     hold_or_release(fingerprint, now);
     m_actions.emplace_back(
-        note_standing{fingerprint, after, m_crashes.record_of(fingerprint, now), m_held.size()});
+        report_quarantine_state{fingerprint, after, m_crashes.record_of(fingerprint, now), m_held.size()});
 }
 
-/// Does what the standing of these requests now asks for. None of them ends by it; see @ref settle_held.
+/// Holds or releases all open requests with this fingerprint, by its quarantine state. Ending quarantined
+/// requests is left to @ref process_held.
 void router::hold_or_release(const request_fingerprint& fingerprint, time_point now)
 {
-    const bool holds = m_crashes.standing_of(fingerprint, now) != standing::clear;
+    const bool holds = m_crashes.quarantine_state_of(fingerprint, now) != quarantine_state::clear;
     if (!holds && m_held.empty())
     {
         return;
@@ -146,11 +150,11 @@
             same.push_back(number);
         }
     }
-    // In the order of their arrival, so that the same events give the same actions.
+    // In order of arrival, so that equal events give equal actions.
     std::sort(same.begin(), same.end());
     for (const request_number number : same)
     {
-        // What is released may end others.
+        // Releasing one request may have ended others.
         const auto found = m_open.find(number);
         if (found != m_open.end())
         {
@@ -165,11 +169,11 @@
     m_held.insert(number);
     for (const part& item : opened.parts)
     {
-        if (!item.over && item.subquery != 0)
+        if (!item.is_finished && item.subquery != 0)
         {
-            lane& runs = m_lanes.at(item.at);
+            service_scheduler& runs = m_service_schedulers.at(item.scheduler_id);
             runs.scheduler.hold(item.subquery);
-            note_due(item.at, runs);
+            note_due(item.scheduler_id, runs);
         }
     }
 }
@@ -178,17 +182,18 @@
 {
     opened.held = false;
     forget_held(number);
-    std::vector<lane_index> lanes;
+    std::vector<scheduler_index> affected_schedulers;
     for (const part& item : opened.parts)
     {
-        if (!item.over && item.subquery != 0)
+        if (!item.is_finished && item.subquery != 0)
         {
-            m_lanes.at(item.at).scheduler.release(item.subquery, now);
-            lanes.push_back(item.at);
+            m_service_schedulers.at(item.scheduler_id).scheduler.release(item.subquery, now);
+            affected_schedulers.push_back(item.scheduler_id);
         }
     }
-    // Collected only after all are released: an early end of one part must not answer before.
-    for (const lane_index at : lanes)
+    // Actions are collected after all parts are released: one part that ends at once must not cause an answer
+    // before that.
+    for (const scheduler_index at : affected_schedulers)
     {
         collect(at, now);
     }
@@ -204,7 +209,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// trials and ends
+// trial attempts and quarantine
 // ---------------------------------------------------------------------------------------------------------
 
 void router::end_trial(dispatch::subquery_id subquery, time_point now)
@@ -216,32 +221,34 @@
     }
 }
 
-void router::settle_held(time_point now)
+void router::process_held(time_point now)
 {
     if (m_held.empty())
     {
         return;
     }
     end_quarantined(now);
-    try_next(now);
+    start_next_trial(now);
 }
 
 bool router::is_under_way(const open_request& opened) const
 {
     const bool awaited = std::any_of(opened.groups.begin(), opened.groups.end(),
-                                     [](const group& asked)
+                                     [](const group& delegated_group)
                                      {
-                                         return !asked.over && asked.is_awaited();
+                                         return !delegated_group.is_finished && delegated_group.is_awaited();
                                      });
     return awaited || std::any_of(opened.parts.begin(), opened.parts.end(),
                                   [&](const part& item)
                                   {
-                                      return !item.over && item.subquery != 0 &&
-                                             !m_lanes.at(item.at).scheduler.is_held_back(item.subquery);
+                                      return !item.is_finished && item.subquery != 0 &&
+                                             !m_service_schedulers.at(item.scheduler_id)
+                                                  .scheduler.is_idle_on_hold(item.subquery);
                                   });
 }
 
-/// What still runs may answer, which would clear the request; without it there is nothing to wait for.
+/// Ends the quarantined requests that have no running parts. A running part may still be answered, which
+/// would clear the request.
 void router::end_quarantined(time_point now)
 {
     const std::vector<request_number> held(m_held.begin(), m_held.end());
@@ -250,28 +257,29 @@
         const auto found = m_open.find(number);
         if (found == m_open.end() || !found->second.held)
         {
-            // What was released before it has ended it, too.
+            // Releasing an earlier request has ended or released this one.
             continue;
         }
         open_request& opened = found->second;
-        const standing known = standing_of(opened, now);
-        if (known == standing::clear)
+        const quarantine_state known = quarantine_state_of(opened, now);
+        if (known == quarantine_state::clear)
         {
-            // Its record was forgotten.
+            // The crash record has expired.
             release(number, opened, now);
         }
-        else if (known == standing::quarantined && !is_under_way(opened))
+        else if (known == quarantine_state::quarantined && !is_under_way(opened))
         {
             opened.reason = missing_reason::quarantined;
-            opened.retry_after = m_crashes.quarantine_left(fingerprint_of(opened), now);
+            opened.retry_after = m_crashes.quarantine_time_left(fingerprint_of(opened), now);
             opened.crashes = {m_crashes.record_of(fingerprint_of(opened), now)};
             fail(number, opened, false);
         }
     }
 }
 
-/// Tries one request that is held back, those with the fewest crashes first: they are the least likely cause.
-void router::try_next(time_point now)
+/// Starts a trial attempt of one held request, that with the fewest crashes first, as it is the least likely
+/// cause.
+void router::start_next_trial(time_point now)
 {
     if (m_trial || m_held.empty() || now < m_next_trial_at)
     {
@@ -281,7 +289,7 @@
     for (const request_number number : m_held)
     {
         open_request& opened = m_open.at(number);
-        if (standing_of(opened, now) == standing::suspect)
+        if (quarantine_state_of(opened, now) == quarantine_state::suspect)
         {
             waiting.emplace_back(m_crashes.record_of(fingerprint_of(opened), now).crashes.size(), number);
         }
@@ -289,7 +297,7 @@
     std::sort(waiting.begin(), waiting.end());
     for (const auto& [crashes, number] : waiting)
     {
-        if (try_part_of(number, now))
+        if (start_trial_of(number, now))
         {
             return;
         }
@@ -297,26 +305,26 @@
     m_next_trial_at = now + m_options.trial_pause;
 }
 
-bool router::can_be_tried(const part& item, const std::shared_ptr<const region_set>& regions,
-                          time_point now) const
+bool router::can_run_trial(const part& item, const std::shared_ptr<const region_set>& regions,
+                           time_point now) const
 {
-    const dispatch::scheduler& scheduler = m_lanes.at(item.at).scheduler;
+    const dispatch::scheduler& scheduler = m_service_schedulers.at(item.scheduler_id).scheduler;
     duration retry_after{};
-    return scheduler.is_held_back(item.subquery) &&
-           scheduler.why_unavailable(0, regions, now, retry_after) == missing_reason::none;
+    return scheduler.is_idle_on_hold(item.subquery) &&
+           scheduler.unavailable_reason(0, regions, now, retry_after) == missing_reason::none;
 }
 
-/// @return whether one of its parts is being tried
-bool router::try_part_of(request_number number, time_point now)
+/// @return whether a trial attempt of one of the request's parts was started
+bool router::start_trial_of(request_number number, time_point now)
 {
     const open_request& opened = m_open.at(number);
     for (const part& item : opened.parts)
     {
-        if (!item.over && item.subquery != 0 && can_be_tried(item, opened.regions, now))
+        if (!item.is_finished && item.subquery != 0 && can_run_trial(item, opened.regions, now))
         {
             m_trial = trial{number, item.subquery};
-            const lane_index at = item.at;
-            m_lanes.at(at).scheduler.try_once(item.subquery, now);
+            const scheduler_index at = item.scheduler_id;
+            m_service_schedulers.at(at).scheduler.start_one_attempt(item.subquery, now);
             collect(at, now);
             return true;
         }
@@ -324,10 +332,10 @@
     return false;
 }
 
-/// @return whether none of it may be sent to further backend servers now, here or by another entry
-bool router::is_barred(open_request& opened, time_point now) const
+/// @return whether the request must not be sent to further backend servers now, by this or another entry
+bool router::is_held_or_quarantined(open_request& opened, time_point now) const
 {
-    return standing_of(opened, now) != standing::clear;
+    return quarantine_state_of(opened, now) != quarantine_state::clear;
 }
 
 } // namespace flaxtiller
--- a/src/routing/shard_plan.cpp
+++ b/src/routing/shard_plan.cpp
@@ -9,7 +9,7 @@
 namespace flaxtiller
 {
 
-using detail::only;
+using detail::single_location;
 
 shard_plan::shard_plan(const routing_view& view)
 {
@@ -17,21 +17,21 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// what changed
+// changes of the view
 // ---------------------------------------------------------------------------------------------------------
 
 void shard_plan::update(const routing_view& view)
 {
-    const bool entries_changed = note_entries(view);
-    note_services(view);
+    const bool entries_changed = update_entries(view);
+    update_services(view);
     std::map<list_key, list_plan> before = std::exchange(m_lists, {});
     bool changed = false;
-    for (const auto& by : view.routes->fan_outs())
+    for (const auto& matched_route : view.routes->fan_outs())
     {
-        const list_key key = key_of(*by);
+        const list_key key = key_of(*matched_route);
         if (m_lists.count(key) > 0)
         {
-            // Another route shares the list.
+            // Another route has the same list, which is up to date.
             continue;
         }
         auto kept = before.extract(key);
@@ -39,7 +39,7 @@
         {
             m_lists.insert(std::move(kept));
         }
-        changed = update_list(*by, entries_changed) || changed;
+        changed = update_list(*matched_route, entries_changed) || changed;
     }
     if (changed || !before.empty())
     {
@@ -48,9 +48,9 @@
 }
 
 /// @return whether the availability zones or their regions changed
-bool shard_plan::note_places(const routing_view& view)
+bool shard_plan::update_zones(const routing_view& view)
 {
-    if (view.region_of_zone.is_same(m_region_of_zone))
+    if (view.region_of_zone.is_shared_with(m_region_of_zone))
     {
         return false;
     }
@@ -74,11 +74,12 @@
     return true;
 }
 
-/// @return whether entries came or went, or the number of those that share the backend servers changed
-bool shard_plan::note_entries(const routing_view& view)
+/// @return whether entries were added or removed, or the number of those that share the backend servers
+/// changed
+bool shard_plan::update_entries(const routing_view& view)
 {
-    const bool places_changed = note_places(view);
-    const bool same = !places_changed && view.peers.is_same(m_peers) && view.self == m_self &&
+    const bool places_changed = update_zones(view);
+    const bool same = !places_changed && view.peers.is_shared_with(m_peers) && view.self == m_self &&
                       view.zone == m_zone_name && view.region == m_region_name &&
                       view.entries == m_entry_count;
     if (same)
@@ -91,12 +92,12 @@
     m_region_name = view.region;
     m_entry_count = view.entries;
     m_rankings.clear();
-    list_entries();
+    index_entries();
     return true;
 }
 
-/// Sorts all entries, this one too, by where they are.
-void shard_plan::list_entries()
+/// Lists all entries, this instance included, by availability zone and by region.
+void shard_plan::index_entries()
 {
     m_names.clear();
     for (availability_zone& item : m_zones)
@@ -116,12 +117,12 @@
         m_own_index = item.name == m_self ? index : m_own_index;
         m_names.push_back(item.name);
         const std::size_t zone = zone_index(item.availability_zone);
-        if (zone != nowhere)
+        if (zone != no_index)
         {
             m_zones[zone].entries.push_back(index);
         }
         const std::size_t at = region_index(item.region);
-        if (at != nowhere)
+        if (at != no_index)
         {
             m_regions[at].entries.push_back(index);
         }
@@ -135,7 +136,7 @@
                                  {
                                      return item.name == name;
                                  });
-    return at == m_regions.end() ? nowhere : static_cast<std::size_t>(at - m_regions.begin());
+    return at == m_regions.end() ? no_index : static_cast<std::size_t>(at - m_regions.begin());
 }
 
 std::size_t shard_plan::zone_index(const std::string& name) const
@@ -146,17 +147,17 @@
                                          return item.name < wanted;
                                      });
     const bool found = at != m_zones.end() && at->name == name;
-    return found ? static_cast<std::size_t>(at - m_zones.begin()) : nowhere;
+    return found ? static_cast<std::size_t>(at - m_zones.begin()) : no_index;
 }
 
-void shard_plan::note_services(const routing_view& view)
+void shard_plan::update_services(const routing_view& view)
 {
     for (const auto& [name, placed] : view.placed->services)
     {
         const auto [known, fresh] = m_services.try_emplace(name);
-        if (fresh || !known->second.seen.is_same(placed))
+        if (fresh || !known->second.seen.is_shared_with(placed))
         {
-            note_service(placed, known->second);
+            update_service(placed, known->second);
         }
     }
     if (m_services.size() > view.placed->services.size())
@@ -169,7 +170,7 @@
     }
 }
 
-void shard_plan::note_service(const shared_value<placed_service>& placed, service_places& into) const
+void shard_plan::update_service(const shared_value<placed_service>& placed, service_locations& into) const
 {
     into = {};
     into.seen = placed;
@@ -179,34 +180,34 @@
             std::min(into.most_direct_entries, server.connection_limit / std::max(server.slots, 1));
         if (!server.leaving)
         {
-            into.zones |= only(zone_index(server.availability_zone));
+            into.zones |= single_location(zone_index(server.availability_zone));
         }
     }
 }
 
-/// @return whether the list was planned anew
-bool shard_plan::update_list(const route& by, bool entries_changed)
+/// @return whether the list was planned again
+bool shard_plan::update_list(const route& matched_route, bool entries_changed)
 {
-    list_plan next = make_list(by);
-    const auto known = m_lists.find(key_of(by));
+    list_plan next = make_list(matched_route);
+    const auto known = m_lists.find(key_of(matched_route));
     const bool same = known != m_lists.end() && !entries_changed && known->second.zones == next.zones &&
                       known->second.owned == next.owned;
     if (same)
     {
         return false;
     }
-    plan(by, next);
-    m_lists.insert_or_assign(key_of(by), std::move(next));
+    plan(matched_route, next);
+    m_lists.insert_or_assign(key_of(matched_route), std::move(next));
     return true;
 }
 
-shard_plan::list_plan shard_plan::make_list(const route& by) const
+shard_plan::list_plan shard_plan::make_list(const route& matched_route) const
 {
     list_plan list;
-    list.owned = is_owned(by.fan_out);
-    list.zones.reserve(by.fan_out.size());
-    const place_set allowed = zones_in(by.allowed_regions);
-    for (const service_name& service : by.fan_out)
+    list.owned = is_owned(matched_route.fan_out);
+    list.zones.reserve(matched_route.fan_out.size());
+    const location_set allowed = zones_in(matched_route.allowed_regions);
+    for (const service_name& service : matched_route.fan_out)
     {
         const auto known = m_services.find(service);
         list.zones.push_back(known == m_services.end() ? 0 : known->second.zones & allowed);
@@ -214,12 +215,12 @@
     return list;
 }
 
-shard_plan::place_set shard_plan::zones_in(const region_set& regions) const
+shard_plan::location_set shard_plan::zones_in(const region_set& regions) const
 {
-    place_set zones = 0;
+    location_set zones = 0;
     for (std::size_t zone = 0; zone < m_zones.size(); ++zone)
     {
-        zones |= regions.allows(m_regions[m_zones[zone].region].name) ? only(zone) : 0;
+        zones |= regions.allows(m_regions[m_zones[zone].region].name) ? single_location(zone) : 0;
     }
     return zones;
 }
@@ -235,8 +236,8 @@
                                             });
 }
 
-/// Every instance works out whom all availability zones ask, and so agrees on how many share what operators
-/// allow.
+/// Computes the first owners for all availability zones, so that all instances agree on the number of owners
+/// that share a retry budget.
 void shard_plan::count_owners()
 {
     std::unordered_map<service_name, std::vector<entry_index>> owners;
@@ -253,8 +254,8 @@
     {
         std::sort(all.begin(), all.end());
         all.erase(std::unique(all.begin(), all.end()), all.end());
-        const bool mine = std::binary_search(all.begin(), all.end(), m_own_index);
-        m_owners.emplace(service, ownership{std::move(all), mine});
+        const bool includes_self = std::binary_search(all.begin(), all.end(), m_own_index);
+        m_owners.emplace(service, ownership{std::move(all), includes_self});
     }
 }
 
@@ -262,17 +263,17 @@
 // the plan
 // ---------------------------------------------------------------------------------------------------------
 
-const std::vector<shard_plan::group>& shard_plan::groups_of(const route& by)
+const std::vector<shard_plan::group>& shard_plan::groups_of(const route& matched_route)
 {
-    const auto known = m_lists.find(key_of(by));
+    const auto known = m_lists.find(key_of(matched_route));
     if (known != m_lists.end())
     {
         return known->second.groups;
     }
-    // A route that isn't in force any more, for a request that began with it.
-    list_plan list = make_list(by);
-    plan(by, list);
-    return m_lists.emplace(key_of(by), std::move(list)).first->second.groups;
+    // The route is no longer in the view, but an open request began with it.
+    list_plan list = make_list(matched_route);
+    plan(matched_route, list);
+    return m_lists.emplace(key_of(matched_route), std::move(list)).first->second.groups;
 }
 
 std::size_t shard_plan::owners_of(const service_name& service) const
@@ -289,23 +290,23 @@
 bool shard_plan::owns(const service_name& service) const
 {
     const auto found = m_owners.find(service);
-    return found != m_owners.end() && found->second.mine;
+    return found != m_owners.end() && found->second.includes_self;
 }
 
-shard_plan::sender shard_plan::rank_among(const std::vector<entry_index>& senders,
-                                          const std::string& key) const
+shard_plan::sender shard_plan::rank_among_senders(const std::vector<entry_index>& senders,
+                                                  const std::string& key) const
 {
-    const auto place_of = [&](entry_index item)
+    const auto rank_key_of = [&](entry_index item)
     {
         return std::pair(hash64(key + '/' + m_names[item].str()), item);
     };
-    const auto own = place_of(m_own_index);
+    const auto own = rank_key_of(m_own_index);
     bool among = false;
     std::size_t before = 0;
     for (const entry_index item : senders)
     {
         among = among || item == m_own_index;
-        before += place_of(item) < own ? 1 : 0;
+        before += rank_key_of(item) < own ? 1 : 0;
     }
     return {senders.size(), among ? before : senders.size()};
 }
@@ -314,32 +315,33 @@
 {
     if (m_entry_count == 0)
     {
-        // As if there were many: few of however many there are take themselves for one of the first.
+        // A large number is assumed, so that only few instances consider themselves among the first.
         constexpr std::size_t unknown_senders = 1000;
         return {unknown_senders, hash64(key + '/' + m_self.str()) % unknown_senders};
     }
     const auto owned = m_owners.find(service);
     if (owned != m_owners.end())
     {
-        return rank_among(owned->second.owners, key);
+        return rank_among_senders(owned->second.owners, key);
     }
     std::vector<entry_index> all(m_names.size());
     std::iota(all.begin(), all.end(), 0U);
-    sender own = rank_among(all, key);
+    sender own = rank_among_senders(all, key);
     own.senders = std::max(own.senders, static_cast<std::size_t>(m_entry_count));
     return own;
 }
 
-std::set<instance_name> shard_plan::first_owners() const
+std::set<instance_name> shard_plan::linked_owners() const
 {
     std::set<instance_name> names;
     for (const auto& [key, list] : m_lists)
     {
         for (const group& item : list.groups)
         {
-            for (std::size_t i = 0; !item.in_turn && i < std::min(counting_owners, item.runners.size()); ++i)
+            for (std::size_t i = 0;
+                 !item.is_round_robin && i < std::min(budgeted_owners, item.runner_candidates.size()); ++i)
             {
-                names.insert(item.runners[i]);
+                names.insert(item.runner_candidates[i]);
             }
         }
     }
--- a/src/routing/shard_plan_groups.cpp
+++ b/src/routing/shard_plan_groups.cpp
@@ -1,4 +1,4 @@
-// How one list of shards is cut into groups, and who runs each.
+// Planning of one list of shards: division into groups and the choice of each group's candidates.
 
 #include <flaxtiller/routing/shard_plan.hpp>
 
@@ -13,25 +13,26 @@
 namespace flaxtiller
 {
 
-using detail::cover;
-using detail::holds;
-using detail::only;
+using detail::assign_locations;
+using detail::contains_location;
+using detail::single_location;
 
 namespace
 {
 
-/// Rankings kept: four bytes an entry of the zone each, so 0.4 MB at 50 of them.
-constexpr std::size_t most_rankings = 2048;
+/// The size of the cache of rankings. Each takes four bytes per entry of the zone: 0.4 MB at 50 entries.
+constexpr std::size_t max_rankings = 2048;
 
-/// Shards go into as many groups as there are shards in each: the sum of what the asker and an owner send is
-/// least then.
+/// @return the square root of the number of shards: the messages of the delegating entry (one per group) and
+/// of an owner (one per shard) are fewest in sum if there are as many groups as shards in each
 std::size_t group_size(std::size_t shards)
 {
     return static_cast<std::size_t>(std::ceil(std::sqrt(static_cast<double>(shards))));
 }
 
-/// @return a number of groups that a shard more or less seldom changes
-std::size_t steady_count(std::size_t groups)
+/// @return the number of groups rounded to an even number, so that adding or removing a shard seldom changes
+/// it
+std::size_t damped_group_count(std::size_t groups)
 {
     constexpr std::size_t exact_up_to = 4;
     return groups <= exact_up_to ? groups : groups + groups % 2;
@@ -39,10 +40,10 @@
 
 } // namespace
 
-void shard_plan::plan(const route& by, list_plan& into)
+void shard_plan::plan(const route& matched_route, list_plan& into)
 {
     ++m_lists_planned;
-    into.owners.assign(by.fan_out.size(), {});
+    into.owners.assign(matched_route.fan_out.size(), {});
     const std::size_t own_zone = zone_index(m_zone_name);
     std::vector<planned_group> own;
     for (std::size_t zone = 0; zone < m_zones.size(); ++zone)
@@ -51,14 +52,16 @@
         {
             continue;
         }
-        const std::vector<planned_group> groups = plan_from(by, into, zone, m_zones[zone].region);
+        const std::vector<planned_group> groups = plan_from(matched_route, into, zone, m_zones[zone].region);
         for (const planned_group& item : groups)
         {
-            const auto counting = static_cast<std::ptrdiff_t>(std::min(counting_owners, item.runners.size()));
+            const auto counting =
+                static_cast<std::ptrdiff_t>(std::min(budgeted_owners, item.runner_candidates.size()));
             for (const std::size_t shard : item.shards)
             {
                 std::vector<entry_index>& owners = into.owners[shard];
-                owners.insert(owners.end(), item.runners.begin(), item.runners.begin() + counting);
+                owners.insert(owners.end(), item.runner_candidates.begin(),
+                              item.runner_candidates.begin() + counting);
             }
         }
         if (zone == own_zone)
@@ -66,37 +69,39 @@
             own = groups;
         }
     }
-    if (own_zone == nowhere)
+    if (own_zone == no_index)
     {
-        own = plan_from(by, into, nowhere, region_index(m_region_name));
+        own = plan_from(matched_route, into, no_index, region_index(m_region_name));
     }
     for (const planned_group& item : own)
     {
-        into.groups.push_back(named(item));
+        into.groups.push_back(to_group(item));
     }
 }
 
-shard_plan::place_set shard_plan::regions_of(place_set zones) const
+shard_plan::location_set shard_plan::regions_of(location_set zones) const
 {
-    place_set regions = 0;
+    location_set regions = 0;
     for (std::size_t zone = 0; zone < m_zones.size(); ++zone)
     {
-        regions |= holds(zones, zone) ? only(m_zones[zone].region) : 0;
+        regions |= contains_location(zones, zone) ? single_location(m_zones[zone].region) : 0;
     }
     return regions;
 }
 
-/// @param zone where the asker is; @ref nowhere for one in no listed zone
-std::vector<shard_plan::planned_group> shard_plan::plan_from(const route& by, const list_plan& list,
-                                                             std::size_t zone, std::size_t own_region)
+/// Plans the groups for the entries of one availability zone.
+/// @param zone the delegating entry's zone; @ref no_index if that zone is not listed
+std::vector<shard_plan::planned_group> shard_plan::plan_from(const route& matched_route,
+                                                             const list_plan& list, std::size_t zone,
+                                                             std::size_t own_region)
 {
-    place_set near = 0;
+    location_set near = 0;
     for (std::size_t other = 0; other < m_zones.size(); ++other)
     {
-        near |= m_zones[other].region == own_region ? only(other) : 0;
+        near |= m_zones[other].region == own_region ? single_location(other) : 0;
     }
-    std::vector<place_set> near_zones(list.zones.size());
-    std::vector<place_set> far_zones(list.zones.size());
+    std::vector<location_set> near_zones(list.zones.size());
+    std::vector<location_set> far_zones(list.zones.size());
     std::vector<std::size_t> far;
     for (std::size_t shard = 0; shard < list.zones.size(); ++shard)
     {
@@ -113,44 +118,46 @@
         add_far_groups(list, far, groups);
         return groups;
     }
-    const auto near_cover = cover(near_zones, m_zones.size(), zone);
+    const auto near_cover = assign_locations(near_zones, m_zones.size(), zone);
     for (std::size_t at = 0; at < near_cover.size(); ++at)
     {
-        add_owned_groups(by, at, near_cover[at], "", groups);
+        add_owned_groups(matched_route, at, near_cover[at], "", groups);
     }
-    // Few entries beside the far replicas run them for all of the asking region, so that these keep
-    // connections and know the latencies.
+    // A few entries near the far replicas run the shards for all of the delegating region, so that these
+    // entries keep their connections open and have latency estimates.
     const std::string region_name =
         own_region < m_regions.size() ? m_regions[own_region].name : m_region_name;
-    const auto far_cover = cover(far_zones, m_zones.size(), nowhere);
+    const auto far_cover = assign_locations(far_zones, m_zones.size(), no_index);
     for (std::size_t at = 0; at < far_cover.size(); ++at)
     {
-        add_owned_groups(by, at, far_cover[at], region_name + '/', groups);
+        add_owned_groups(matched_route, at, far_cover[at], region_name + '/', groups);
     }
     return groups;
 }
 
-/// Far shards that any entry of their region may run: one group a region.
+/// Adds one group per region for the shards without a replica in the own region; any entry of that region may
+/// run the group.
 void shard_plan::add_far_groups(const list_plan& list, const std::vector<std::size_t>& far,
                                 std::vector<planned_group>& into) const
 {
-    std::vector<place_set> regions(list.zones.size());
+    std::vector<location_set> regions(list.zones.size());
     for (const std::size_t shard : far)
     {
         regions[shard] = regions_of(list.zones[shard]);
     }
-    const auto by_region = cover(regions, m_regions.size(), nowhere);
+    const auto by_region = assign_locations(regions, m_regions.size(), no_index);
     for (std::size_t at = 0; at < by_region.size(); ++at)
     {
-        if (by_region[at].size() >= least_group && !m_regions[at].entries.empty())
+        if (by_region[at].size() >= min_group_size && !m_regions[at].entries.empty())
         {
             into.push_back({by_region[at], m_regions[at].entries, true});
         }
     }
 }
 
-void shard_plan::add_owned_groups(const route& by, std::size_t zone, const std::vector<std::size_t>& shards,
-                                  const std::string& salt, std::vector<planned_group>& into)
+void shard_plan::add_owned_groups(const route& matched_route, std::size_t zone,
+                                  const std::vector<std::size_t>& shards, const std::string& salt,
+                                  std::vector<planned_group>& into)
 {
     const std::vector<entry_index>& in_zone = m_zones[zone].entries;
     const std::vector<entry_index>& entries =
@@ -159,11 +166,11 @@
     {
         return;
     }
-    // By position in the whole fan-out, so that a shard that comes or goes leaves the other groups as they
-    // are.
-    const std::size_t all = by.fan_out.size();
+    // Divided by position in the whole fan-out, so that adding or removing a shard leaves the other groups
+    // unchanged.
+    const std::size_t all = matched_route.fan_out.size();
     const std::size_t size = group_size(all);
-    const std::size_t groups = steady_count((shards.size() + size - 1) / size);
+    const std::size_t groups = damped_group_count((shards.size() + size - 1) / size);
     const std::size_t most = (groups + entries.size() - 1) / entries.size();
     std::unordered_map<entry_index, std::size_t> load;
     std::size_t next = 0;
@@ -176,19 +183,20 @@
         {
             item.shards.push_back(shards[next++]);
         }
-        item.runners = ranked(salt + m_zones[zone].name + '/' + by.fan_out[first].str(), entries);
-        // None owns more groups than its share.
-        const auto owner = std::find_if(item.runners.begin(), item.runners.end(),
+        item.runner_candidates =
+            rank_entries(salt + m_zones[zone].name + '/' + matched_route.fan_out[first].str(), entries);
+        // No entry is the first choice for more groups than its share.
+        const auto owner = std::find_if(item.runner_candidates.begin(), item.runner_candidates.end(),
                                         [&](entry_index name)
                                         {
                                             return load[name] < most;
                                         });
-        if (owner != item.runners.end())
+        if (owner != item.runner_candidates.end())
         {
             ++load[*owner];
-            std::rotate(item.runners.begin(), owner, owner + 1);
+            std::rotate(item.runner_candidates.begin(), owner, owner + 1);
         }
-        item.runners.resize(std::min(item.runners.size(), most_owners));
+        item.runner_candidates.resize(std::min(item.runner_candidates.size(), max_owners));
         if (!item.shards.empty())
         {
             into.push_back(std::move(item));
@@ -196,9 +204,9 @@
     }
 }
 
-/// @return entries in the order of rendezvous hashing
-std::vector<shard_plan::entry_index> shard_plan::ranked(const std::string& key,
-                                                        const std::vector<entry_index>& entries)
+/// @return the entries in the order of rendezvous hashing for the key
+std::vector<shard_plan::entry_index> shard_plan::rank_entries(const std::string& key,
+                                                              const std::vector<entry_index>& entries)
 {
     const auto known = m_rankings.find(key);
     if (known != m_rankings.end())
@@ -218,7 +226,7 @@
     {
         order.push_back(item);
     }
-    if (m_rankings.size() >= most_rankings)
+    if (m_rankings.size() >= max_rankings)
     {
         m_rankings.clear();
     }
@@ -226,14 +234,14 @@
     return order;
 }
 
-shard_plan::group shard_plan::named(const planned_group& item) const
+shard_plan::group shard_plan::to_group(const planned_group& item) const
 {
     group result;
     result.shards = item.shards;
-    result.in_turn = item.in_turn;
-    for (const entry_index runner : item.runners)
+    result.is_round_robin = item.is_round_robin;
+    for (const entry_index runner : item.runner_candidates)
     {
-        result.runners.push_back(m_names[runner]);
+        result.runner_candidates.push_back(m_names[runner]);
     }
     return result;
 }
--- a/src/shell/backend_pool.cpp
+++ b/src/shell/backend_pool.cpp
@@ -17,10 +17,10 @@
 namespace
 {
 
-/// How long after its deadline an attempt's answer is still awaited, so that a slow cancel can be told from a
-/// dead connection.
+/// Time after the deadline of an attempt during which its answer is still accepted, so that a slow
+/// cancellation can be distinguished from a dead connection.
 constexpr duration answer_grace = duration::from_ms(250);
-/// How long a cancel may take to be acknowledged.
+/// Time within which the backend server must acknowledge a cancellation.
 constexpr duration cancel_timeout = duration::from_ms(1000);
 constexpr const char* id_header = "X-Request-Id";
 
@@ -37,10 +37,10 @@
 
 duration retry_after(const http_fields& headers)
 {
-    constexpr std::size_t most_digits = 9;
+    constexpr std::size_t max_digits = 9;
     const std::string text = headers.value("X-Retry-After-Ms");
     const bool digits =
-        text.size() <= most_digits && text.find_first_not_of("0123456789") == std::string::npos;
+        text.size() <= max_digits && text.find_first_not_of("0123456789") == std::string::npos;
     return duration::from_ms(text.empty() || !digits ? 0.0 : std::stod(text));
 }
 
@@ -89,8 +89,8 @@
 
 } // namespace
 
-backend_pool::backend_pool(boost::asio::io_context& io, address at, metrics& counted)
-    : m_host(at.str()), m_connections(boost::asio::make_strand(io), at, counted)
+backend_pool::backend_pool(boost::asio::io_context& io, address at, metrics& pool_metrics)
+    : m_host(at.str()), m_connections(boost::asio::make_strand(io), at, pool_metrics)
 {
 }
 
@@ -151,8 +151,8 @@
     exchange.target = "/cancel";
     exchange.headers.add("Host", m_host);
     exchange.patience = cancel_timeout;
-    // One at a time, on the connection that stays free of subqueries. The end of the attempt itself tells
-    // what came of it.
+    // Cancellations are sent one at a time, on the connection that is not used for subqueries. The reply is
+    // ignored, since the result of the attempt itself shows whether it was stopped.
     m_connections.send(std::move(exchange),
                        [self = shared_from_this()](const http_exchange_result&)
                        {
--- a/src/shell/http_server.cpp
+++ b/src/shell/http_server.cpp
@@ -40,7 +40,8 @@
 
 constexpr unsigned http_version = 11;
 
-/// A reply that a handler gives, perhaps from another thread, to the coroutine that waits for it.
+/// The reply that a connection's coroutine waits for. The handler may produce the reply on another thread; it
+/// is posted to the connection's strand.
 struct pending_reply
 {
     explicit pending_reply(const net::any_io_executor& executor) : ready(executor)
@@ -49,20 +50,20 @@
     }
 
     net::steady_timer ready;
-    bool given = false;
+    bool is_set = false;
     http_reply reply;
 };
 
-/// The time limit of reading one request.
-struct read_limit
+/// The time limit for reading one request.
+struct read_timeout
 {
-    explicit read_limit(const net::any_io_executor& executor) : timer(executor)
+    explicit read_timeout(const net::any_io_executor& executor) : timer(executor)
     {
     }
 
     net::steady_timer timer;
-    bool late = false;
-    bool over = false;
+    bool timed_out = false;
+    bool finished = false;
 };
 
 int status_of(const beast::error_code& failed)
@@ -112,14 +113,14 @@
 
 struct http_server::state : std::enable_shared_from_this<http_server::state>
 {
-    state(net::io_context& context, limits wanted, handler handler_of)
-        : io(context), in_force(std::make_shared<const limits>(wanted)), handle(std::move(handler_of)),
-          acceptor(net::make_strand(context))
+    state(net::io_context& context, limits initial, handler request_handler)
+        : io(context), active_limits(std::make_shared<const limits>(initial)),
+          handle(std::move(request_handler)), acceptor(net::make_strand(context))
     {
     }
 
     net::io_context& io;
-    rcu_cell<limits> in_force;
+    rcu_cell<limits> active_limits;
     handler handle;
     tcp::acceptor acceptor;
     std::atomic<bool> draining{false};
@@ -140,15 +141,15 @@
             {
                 co_return;
             }
-            const std::size_t most = in_force.load()->most_connections;
+            const std::size_t most = active_limits.load()->most_connections;
             const bool full = most > 0 && connections >= most;
             refused += full && !failed ? 1 : 0;
             if (failed || full)
             {
-                // A refused connection is closed at once; a failed accept is tried again.
+                // A connection above the limit is closed at once. A failed accept is retried.
                 continue;
             }
-            // Only this loop writes the maximum.
+            // Only this loop writes most_seen, so a load and a store suffice.
             most_seen = std::max(most_seen.load(), ++connections);
             const auto executor = socket.get_executor();
             net::co_spawn(executor, session(shared_from_this(), beast::tcp_stream(std::move(socket))),
@@ -164,7 +165,7 @@
         }
         catch (const std::exception&)
         {
-            // The peer went away; there is nobody to tell.
+            // The peer closed the connection, so the error can't be reported to it.
         }
         beast::error_code ignored;
         stream.socket().shutdown(tcp::socket::shutdown_both, ignored);
@@ -174,7 +175,7 @@
     net::awaitable<void> serve(beast::tcp_stream& stream)
     {
         stream.socket().set_option(tcp::no_delay(true));
-        if (const int cost_ms = in_force.load()->new_connection_cost_ms; cost_ms > 0)
+        if (const int cost_ms = active_limits.load()->new_connection_cost_ms; cost_ms > 0)
         {
             net::steady_timer cost(stream.get_executor(), std::chrono::milliseconds(cost_ms));
             co_await cost.async_wait(net::use_awaitable);
@@ -183,7 +184,7 @@
         bool keep_alive = true;
         while (keep_alive && !draining)
         {
-            const auto bounds = in_force.load();
+            const auto bounds = active_limits.load();
             if (!co_await await_request(stream, buffer, *bounds) || draining)
             {
                 co_return;
@@ -202,7 +203,8 @@
         }
     }
 
-    /// Waits for the first byte of a request. @return false if none came
+    /// Waits for the first byte of a request.
+    /// @return false if no byte arrived within the idle timeout, or the peer closed the connection
     static net::awaitable<bool> await_request(beast::tcp_stream& stream, beast::flat_buffer& buffer,
                                               const limits& bounds)
     {
@@ -220,40 +222,41 @@
         co_return !failed && count > 0;
     }
 
-    /// Reads a request within its time limit. The stream's own limit would close the connection, so that
-    /// nobody could be told.
+    /// Reads a request within its time limit. A separate timer is used because the stream's own timeout
+    /// closes the connection, and the server then can't reply with an error.
     static net::awaitable<beast::error_code> read_request(beast::tcp_stream& stream,
                                                           beast::flat_buffer& buffer, parser& incoming,
                                                           const limits& bounds)
     {
         stream.expires_never();
-        auto limit = std::make_shared<read_limit>(stream.get_executor());
+        auto limit = std::make_shared<read_timeout>(stream.get_executor());
         limit->timer.expires_after(std::chrono::milliseconds(bounds.request_timeout_ms));
         limit->timer.async_wait(
             [limit, &stream](const beast::error_code& stopped)
             {
-                // Where the request is in already, the stream may be gone.
-                if (!stopped && !limit->over)
+                // The stream may be destroyed already if the request was read completely.
+                if (!stopped && !limit->finished)
                 {
-                    limit->late = true;
+                    limit->timed_out = true;
                     stream.cancel();
                 }
             });
         beast::error_code failed;
         co_await http::async_read(stream, buffer, incoming, net::redirect_error(net::use_awaitable, failed));
-        limit->over = true;
+        limit->finished = true;
         limit->timer.cancel();
-        co_return limit->late ? beast::error_code(beast::error::timeout) : failed;
+        co_return limit->timed_out ? beast::error_code(beast::error::timeout) : failed;
     }
 
-    /// Says what was wrong with a request that couldn't be read; where the peer went away, nothing.
+    /// Replies with an error to a request that could not be read. No reply is sent if the peer closed the
+    /// connection.
     net::awaitable<void> refuse(beast::tcp_stream& stream, beast::error_code failed, const limits& bounds)
     {
         const bool slow = failed == beast::error::timeout;
-        const bool unreadable =
+        const bool is_malformed =
             failed.category() == http::make_error_code(http::error::bad_target).category() &&
             failed != http::error::end_of_stream && failed != http::error::partial_message;
-        if (!slow && !unreadable)
+        if (!slow && !is_malformed)
         {
             co_return;
         }
@@ -265,16 +268,16 @@
         co_await http::async_write(stream, message, net::redirect_error(net::use_awaitable, gone));
     }
 
-    /// Tells the handler if the caller closes its connection before the reply. Bytes that come instead are
-    /// the caller's next request; it is no longer watched then.
-    static void watch(const std::shared_ptr<pending_reply>& pending, beast::tcp_stream& stream,
-                      std::shared_ptr<std::function<void()>> on_gone)
+    /// Calls @a on_gone if the caller closes the connection before the reply. If bytes arrive instead, they
+    /// belong to the caller's next request, and the connection is no longer watched.
+    static void watch_for_disconnect(const std::shared_ptr<pending_reply>& pending, beast::tcp_stream& stream,
+                                     std::shared_ptr<std::function<void()>> on_gone)
     {
         stream.socket().async_wait(
             tcp::socket::wait_read,
             [pending, &stream, on_gone = std::move(on_gone)](const beast::error_code& stopped)
             {
-                if (stopped || pending->given)
+                if (stopped || pending->is_set)
                 {
                     return;
                 }
@@ -286,8 +289,8 @@
                     return;
                 }
                 (*on_gone)();
-                pending->given = true;
-                pending->reply.cut = true;
+                pending->is_set = true;
+                pending->reply.close_connection = true;
                 pending->ready.cancel();
             });
     }
@@ -296,7 +299,7 @@
                                 http::request<http::string_body> message, const limits& bounds)
     {
         ++in_flight;
-        const bool wanted_alive = message.keep_alive();
+        const bool wants_keep_alive = message.keep_alive();
         auto pending = std::make_shared<pending_reply>(stream.get_executor());
         const auto executor = stream.get_executor();
         http_request request = to_request(message);
@@ -307,9 +310,9 @@
                    net::post(executor,
                              [pending, reply = std::move(reply)]() mutable
                              {
-                                 if (!pending->given)
+                                 if (!pending->is_set)
                                  {
-                                     pending->given = true;
+                                     pending->is_set = true;
                                      pending->reply = std::move(reply);
                                      pending->ready.cancel();
                                  }
@@ -318,9 +321,9 @@
         const bool watched = *request.on_gone && buffer.size() == 0;
         if (watched)
         {
-            watch(pending, stream, request.on_gone);
+            watch_for_disconnect(pending, stream, request.on_gone);
         }
-        while (!pending->given)
+        while (!pending->is_set)
         {
             beast::error_code woken;
             co_await pending->ready.async_wait(net::redirect_error(net::use_awaitable, woken));
@@ -330,8 +333,8 @@
         {
             stream.socket().cancel(failed);
         }
-        const bool keep_alive = wanted_alive && !draining && !closing && !pending->reply.cut;
-        if (!pending->reply.cut)
+        const bool keep_alive = wants_keep_alive && !draining && !closing && !pending->reply.close_connection;
+        if (!pending->reply.close_connection)
         {
             response reply = to_response(pending->reply, keep_alive);
             stream.expires_after(std::chrono::milliseconds(bounds.request_timeout_ms));
@@ -386,9 +389,9 @@
     m_state->closing = true;
 }
 
-void http_server::bound(const limits& bounds)
+void http_server::set_limits(const limits& bounds)
 {
-    m_state->in_force.store(std::make_shared<const limits>(bounds));
+    m_state->active_limits.store(std::make_shared<const limits>(bounds));
 }
 
 std::size_t http_server::in_flight() const noexcept
--- a/src/shell/link_endpoint.cpp
+++ b/src/shell/link_endpoint.cpp
@@ -19,11 +19,12 @@
 using ws_client = websocketpp::client<websocketpp::config::asio_client>;
 using websocketpp::connection_hdl;
 
-/// Longer than peer_links waits for a dial: a busy peer that answers late is linked to all the same.
+/// Longer than the longest time that peer_links waits for a dial, so that a link to a busy peer that answers
+/// slowly is still established.
 constexpr long open_timeout_ms = 8000;
 constexpr long close_timeout_ms = 500;
-/// A link to a peer that takes nothing any more is closed once this much waits to be sent.
-constexpr std::size_t most_buffered_bytes = std::size_t{64} << 20U;
+/// A link is closed once this many bytes wait to be sent, which happens if the peer stopped reading.
+constexpr std::size_t max_buffered_bytes = std::size_t{64} << 20U;
 
 template <typename Endpoint>
 void prepare(Endpoint& endpoint, boost::asio::io_service& io)
@@ -57,38 +58,38 @@
         bool outgoing = false;
     };
 
-    handlers told;
-    std::size_t most_bytes;
+    handlers callbacks;
+    std::size_t max_received_bytes;
     boost::asio::io_service io;
     std::unique_ptr<boost::asio::io_service::work> keep_running;
     ws_server server;
     ws_client client;
     std::thread thread;
-    std::atomic<link_id> next{1};
-    // Only touched by the thread.
+    std::atomic<link_id> next_id{1};
+    // Accessed only by the endpoint's thread.
     std::map<link_id, link> links;
 
     template <typename Connection>
     void attach(const Connection& connection, link_id id, bool outgoing)
     {
-        connection->set_max_message_size(most_bytes);
+        connection->set_max_message_size(max_received_bytes);
         connection->set_open_handler(
             [this, id, outgoing](connection_hdl handle)
             {
                 links[id] = link{handle, outgoing};
-                told.opened(id);
+                callbacks.opened(id);
             });
         const auto gone = [this, id](connection_hdl)
         {
             links.erase(id);
-            told.closed(id);
+            callbacks.closed(id);
         };
         connection->set_close_handler(gone);
         connection->set_fail_handler(gone);
         connection->set_message_handler(
             [this, id](connection_hdl, const auto& message)
             {
-                told.received(id, message->get_payload());
+                callbacks.received(id, message->get_payload());
             });
     }
 
@@ -101,7 +102,7 @@
         {
             return;
         }
-        if (connection->get_buffered_amount() > most_buffered_bytes)
+        if (connection->get_buffered_amount() > max_buffered_bytes)
         {
             connection->terminate(websocketpp::lib::error_code());
             return;
@@ -151,7 +152,7 @@
         const auto connection = client.get_connection(uri, failed);
         if (failed)
         {
-            told.closed(id);
+            callbacks.closed(id);
             return;
         }
         attach(connection, id, true);
@@ -159,12 +160,12 @@
     }
 };
 
-link_endpoint::link_endpoint(handlers told, std::size_t most_bytes)
+link_endpoint::link_endpoint(handlers callbacks, std::size_t max_received_bytes)
     : m_implementation(std::make_unique<implementation>())
 {
     implementation& self = *m_implementation;
-    self.told = std::move(told);
-    self.most_bytes = most_bytes;
+    self.callbacks = std::move(callbacks);
+    self.max_received_bytes = max_received_bytes;
     prepare(self.server, self.io);
     prepare(self.client, self.io);
     self.server.set_reuse_addr(true);
@@ -177,7 +178,7 @@
             {
                 return false;
             }
-            self.attach(connection, self.next++, false);
+            self.attach(connection, self.next_id++, false);
             return true;
         });
 }
@@ -220,7 +221,7 @@
                 }
                 catch (const std::exception&)
                 {
-                    // A peer's malformed frame must not end the process; its link is closed by the library.
+                    // A malformed frame from a peer must not end the process; the library closes the link.
                 }
             }
         });
@@ -229,7 +230,7 @@
 link_endpoint::link_id link_endpoint::connect(const std::string& ip, std::uint16_t port)
 {
     implementation& self = *m_implementation;
-    const link_id id = self.next++;
+    const link_id id = self.next_id++;
     const std::string uri = "ws://" + ip + ":" + std::to_string(port) + "/flaxtiller";
     boost::asio::post(self.io,
                       [&self, id, uri]
--- a/src/shell/settings.cpp
+++ b/src/shell/settings.cpp
@@ -127,19 +127,20 @@
 
 void read_dispatch(json_reader& reader, dispatch::scheduler_options& into)
 {
-    reader.number("late_quantile", into.late_quantile, 0.5, 0.9999);
+    reader.number("late_quantile", into.overdue_quantile, 0.5, 0.9999);
     reader.number("extra_load_share", into.extra_load_share, 0.0, 1.0);
     reader.number("budget_burst", into.budget_burst, 0.0, 100000.0);
     reader.number("most_attempts", into.most_attempts, 1, 16);
-    read_ms(reader, "first_late_after_ms", into.first_late_after, 1.0, hour_ms);
-    read_ms(reader, "cancel_bound_ms", into.cancel_bound, 1.0, hour_ms);
+    read_ms(reader, "first_late_after_ms", into.initial_overdue_after, 1.0, hour_ms);
+    read_ms(reader, "cancel_bound_ms", into.cancel_confirmation_timeout, 1.0, hour_ms);
     read_ms(reader, "failure_half_life_ms", into.failure_half_life, 0.0, hour_ms);
     reader.number("eject_after", into.eject_after, 1, 1000);
-    read_ms(reader, "eject_first_ms", into.eject_first, 1.0, hour_ms);
-    read_ms(reader, "eject_most_ms", into.eject_most, 1.0, hour_ms);
-    if (into.eject_first > into.eject_most)
+    read_ms(reader, "eject_first_ms", into.min_ejection, 1.0, hour_ms);
+    read_ms(reader, "eject_most_ms", into.max_ejection, 1.0, hour_ms);
+    if (into.min_ejection > into.max_ejection)
     {
-        reader.found().error(errc::key_clash, reader.at("eject_first_ms"), "must not exceed eject_most_ms");
+        reader.found().error(errc::key_conflict, reader.at("eject_first_ms"),
+                             "must not exceed eject_most_ms");
     }
 }
 
@@ -148,18 +149,18 @@
     read_ms(reader, "heartbeat_ms", into.heartbeat, 1.0, hour_ms);
     read_ms(reader, "election_min_ms", into.election_min, 1.0, hour_ms);
     read_ms(reader, "election_max_ms", into.election_max, 1.0, hour_ms);
-    read_ms(reader, "query_every_ms", into.query_every, 1.0, hour_ms);
+    read_ms(reader, "query_every_ms", into.leadership_query_interval, 1.0, hour_ms);
     read_ms(reader, "early_election_spread_ms", into.early_election_spread, 0.0, hour_ms);
     reader.number("clock_drift", into.clock_drift, 0.0, 0.2);
     constexpr double heartbeats_per_election = 2.0;
     if (into.heartbeat * heartbeats_per_election > into.election_min)
     {
-        reader.found().error(errc::key_clash, reader.at("election_min_ms"),
+        reader.found().error(errc::key_conflict, reader.at("election_min_ms"),
                              "must be at least twice heartbeat_ms");
     }
     if (into.election_min >= into.election_max)
     {
-        reader.found().error(errc::key_clash, reader.at("election_max_ms"), "must exceed election_min_ms");
+        reader.found().error(errc::key_conflict, reader.at("election_max_ms"), "must exceed election_min_ms");
     }
 }
 
@@ -170,21 +171,21 @@
     read_ms(reader, "redial_ms", into.redial, 1.0, hour_ms);
     if (into.silence <= into.heartbeat)
     {
-        reader.found().error(errc::key_clash, reader.at("silence_ms"), "must exceed heartbeat_ms");
+        reader.found().error(errc::key_conflict, reader.at("silence_ms"), "must exceed heartbeat_ms");
     }
 }
 
 void read_routing(json_reader& reader, router_options& into)
 {
     reader.number("objective_share", into.objective_share, 0.0, 1.0);
-    read_ms(reader, "way_back_ms", into.way_back, 0.0, hour_ms);
-    reader.number("requests", into.most_requests, std::size_t{1}, std::size_t{1} << 30U);
-    read_ms(reader, "least_retry_ms", into.least_retry, 0.0, hour_ms);
+    read_ms(reader, "way_back_ms", into.response_margin, 0.0, hour_ms);
+    reader.number("requests", into.max_open_requests, std::size_t{1}, std::size_t{1} << 30U);
+    read_ms(reader, "least_retry_ms", into.min_retry_after, 0.0, hour_ms);
     read_ms(reader, "registration_retry_ms", into.registration_retry, 0.0, hour_ms);
     reader.number("retry_ratio", into.retry_ratio, 0.0, 10.0);
     reader.number("retry_slack", into.retry_slack, 0.0, 1e6);
     read_ms(reader, "retry_window_ms", into.retry_window, 1.0, hour_ms);
-    reader.flag("refusals_cost", into.scheduling.refusals_cost);
+    reader.flag("refusals_cost", into.scheduling.charge_refusals);
     reader.number("warmup_overage", into.warmup_overage, 1.0, 100.0);
     reader.number("warmup_slack", into.warmup_slack, 0.0, 1e6);
     read_section(reader, "dispatch", false,
@@ -228,7 +229,7 @@
         {
             if (used[i].second == used[j].second && used[i].second.port != 0)
             {
-                found.error(errc::key_clash, used[j].first,
+                found.error(errc::key_conflict, used[j].first,
                             used[j].second.str() + " is also the address of " + used[i].first);
             }
         }
@@ -282,10 +283,10 @@
                              "must be an object of strings");
         return;
     }
-    if (zones->size() > shard_plan::most_places)
+    if (zones->size() > shard_plan::max_locations)
     {
         reader.found().error(errc::out_of_range, reader.at("availability_zones"),
-                             "must be at most " + std::to_string(shard_plan::most_places));
+                             "must be at most " + std::to_string(shard_plan::max_locations));
         return;
     }
     into = zones->get<std::map<std::string, std::string>>();
@@ -490,7 +491,7 @@
     if (!found.has_errors() && !settings.self_forming &&
         std::none_of(settings.replicas.begin(), settings.replicas.end(), self))
     {
-        found.error(errc::key_clash, "/replicas", "must hold this replica, " + settings.replica.name);
+        found.error(errc::key_conflict, "/replicas", "must hold this replica, " + settings.replica.name);
     }
     return settings;
 }
--- a/src/shell/settings.hpp
+++ b/src/shell/settings.hpp
@@ -2,11 +2,11 @@
 
 #include "address.hpp"
 #include "log.hpp"
-#include "routed_headers.hpp"
+#include "routed_header_names.hpp"
 
 #include <flaxtiller/core/findings.hpp>
 #include <flaxtiller/dispatch/scheduler_options.hpp>
-#include <flaxtiller/quorum/member_keeper.hpp>
+#include <flaxtiller/quorum/membership_planner.hpp>
 #include <flaxtiller/quorum/timing.hpp>
 #include <flaxtiller/routing/router_options.hpp>
 #include <flaxtiller/teams/rate_limit.hpp>
@@ -69,7 +69,7 @@
     router_options routing;
     /// The regions of the availability zones, to know which backend servers are near.
     std::map<std::string, std::string> region_of_zone;
-    routed_headers routed_names;
+    routed_header_names routed_names;
     /// Where the platform lists live and leaving backend servers; port 0 for none.
     address platform_list;
     int platform_poll_interval_ms = 500;
@@ -111,7 +111,7 @@
     std::map<std::string, std::string> region_of_zone;
     /// A registered backend server that wasn't heard for this long is lost: several of its heartbeats.
     duration registration_silence = duration::from_ms(8000);
-    quorum::member_keeper::options keeper;
+    quorum::membership_planner::options keeper;
     /// By how much all entries together may exceed the limit of a team.
     rate_tolerance limit_tolerance;
     std::string data_folder;
--- a/tests/src/unit-coordinator.cpp
+++ b/tests/src/unit-coordinator.cpp
@@ -29,7 +29,7 @@
     return placed;
 }
 
-/// Feeds one instance's decisions by hand.
+/// Drives the coordinator of one instance with explicit events.
 struct driver
 {
     explicit driver(const std::string& self) : coordinator(instance_name(self), dispatch_service, {}, 500)
@@ -46,13 +46,13 @@
         }
     }
 
-    void pass(double ms)
+    void advance(double ms)
     {
         now = now + duration::from_ms(ms);
         feed(time_passed{});
     }
 
-    void ask(query_id id, bool repeatable = true, double deadline_ms = 1000)
+    void send_query(query_id id, bool repeatable = true, double deadline_ms = 1000)
     {
         query_request request;
         request.service = dispatch_service;
@@ -89,14 +89,14 @@
 
     void answer_attempts()
     {
-        for (const auto& begun : take<dispatch::start_attempt>())
+        for (const auto& started : take<dispatch::start_attempt>())
         {
             dispatch::attempt_result result;
             result.status = dispatch::attempt_status::answered;
             result.version = index_version("1");
             result.held_versions = {index_version("1")};
             result.body = std::make_shared<const std::string>("found");
-            feed(attempt_ended{begun.attempt, result});
+            feed(attempt_ended{started.attempt, result});
         }
     }
 
@@ -110,55 +110,55 @@
     return dispatch::owner_candidates(dispatch_service, 0, *two_instances())[0].str();
 }
 
-std::string other_name()
+std::string non_owner_name()
 {
     return owner_name() == "e1" ? "e2" : "e1";
 }
 
 } // namespace
 
-TEST_CASE("the owner runs a query on its own", "[coordinator]")
+TEST_CASE("the owner of the shards executes a query without delegation", "[coordinator]")
 {
     driver owner(owner_name());
-    owner.feed(peer_reachable{instance_name(other_name()), true});
-    owner.ask(1);
-    CHECK(owner.take<ask_peer>().empty());
+    owner.feed(peer_reachable{instance_name(non_owner_name()), true});
+    owner.send_query(1);
+    CHECK(owner.take<delegate_to_peer>().empty());
     owner.answer_attempts();
-    const auto told = owner.take<answer_caller>();
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].answer.is_whole());
+    const auto answers = owner.take<answer_caller>();
+    REQUIRE(answers.size() == 1);
+    CHECK(answers[0].answer.is_complete());
     CHECK(owner.coordinator.open_queries() == 0);
 }
 
-TEST_CASE("another instance sends to the owner, in one message", "[coordinator]")
+TEST_CASE("another instance delegates its subqueries to the owner in one message", "[coordinator]")
 {
     driver owner(owner_name());
-    driver other(other_name());
+    driver other(non_owner_name());
     other.feed(peer_reachable{instance_name(owner_name()), true});
-    other.ask(1);
-    const auto asked = other.take<ask_peer>();
-    REQUIRE(asked.size() == 1);
-    REQUIRE(asked[0].subqueries.size() == 2);
-    owner.feed(peer_asked{instance_name(other_name()), asked[0].subqueries});
+    other.send_query(1);
+    const auto delegations = other.take<delegate_to_peer>();
+    REQUIRE(delegations.size() == 1);
+    REQUIRE(delegations[0].subqueries.size() == 2);
+    owner.feed(peer_delegated{instance_name(non_owner_name()), delegations[0].subqueries});
     owner.answer_attempts();
-    const auto results = owner.take<answer_peer>();
+    const auto results = owner.take<send_results_to_peer>();
 
-    SECTION("and merges the results")
+    SECTION("the instance merges the returned results")
     {
         for (const auto& batch : results)
         {
             other.feed(peer_answered{instance_name(owner_name()), batch.results});
         }
-        const auto told = other.take<answer_caller>();
-        REQUIRE(told.size() == 1);
-        CHECK(told[0].answer.is_whole());
+        const auto answers = other.take<answer_caller>();
+        REQUIRE(answers.size() == 1);
+        CHECK(answers[0].answer.is_complete());
     }
 
-    SECTION("an owner that can't be reached is replaced, and its late results are dropped")
+    SECTION("an unreachable owner is replaced, and its late results are ignored")
     {
         other.feed(peer_reachable{instance_name(owner_name()), false});
-        const auto begun = other.take<dispatch::start_attempt>();
-        CHECK(begun.size() == 2);
+        const auto attempts = other.take<dispatch::start_attempt>();
+        CHECK(attempts.size() == 2);
         for (const auto& batch : results)
         {
             other.feed(peer_answered{instance_name(owner_name()), batch.results});
@@ -166,38 +166,38 @@
         CHECK(other.take<answer_caller>().empty());
     }
 
-    SECTION("the deadline is passed on less the way there and back")
+    SECTION("the delegated deadline is reduced by the round trip reserve")
     {
-        CHECK(asked[0].subqueries[0].left < duration::from_ms(1000));
-        CHECK(asked[0].subqueries[0].left > duration::from_ms(990));
+        CHECK(delegations[0].subqueries[0].time_left < duration::from_ms(1000));
+        CHECK(delegations[0].subqueries[0].time_left > duration::from_ms(990));
     }
 }
 
-TEST_CASE("a frozen instance that wakes", "[coordinator]")
+TEST_CASE("an instance that resumes after a long suspension doesn't act on expired queries", "[coordinator]")
 {
     driver owner(owner_name());
-    owner.ask(1, true, 100);
-    const auto begun = owner.take<dispatch::start_attempt>();
-    REQUIRE(begun.size() == 2);
-    // Stopped for long; the first thing it sees is an answer that waited in its socket.
+    owner.send_query(1, true, 100);
+    const auto attempts = owner.take<dispatch::start_attempt>();
+    REQUIRE(attempts.size() == 2);
+    // The first event after the suspension is an answer that waited in a socket.
     owner.now = owner.now + duration::from_ms(60000);
     dispatch::attempt_result stale;
     stale.status = dispatch::attempt_status::answered;
     stale.version = index_version("1");
-    owner.feed(attempt_ended{begun[0].attempt, stale});
-    const auto told = owner.take<answer_caller>();
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].answer.covered.empty());
-    CHECK(told[0].answer.outcome == outcome::unknown);
+    owner.feed(attempt_ended{attempts[0].attempt, stale});
+    const auto answers = owner.take<answer_caller>();
+    REQUIRE(answers.size() == 1);
+    CHECK(answers[0].answer.covered.empty());
+    CHECK(answers[0].answer.outcome == outcome::unknown);
     CHECK(owner.take<dispatch::start_attempt>().empty());
 }
 
-TEST_CASE("a request that may not be repeated", "[coordinator]")
+TEST_CASE("a request that must not be repeated", "[coordinator]")
 {
     driver owner(owner_name());
-    owner.ask(1, false);
+    owner.send_query(1, false);
 
-    SECTION("isn't sent before the register granted it")
+    SECTION("the request isn't sent before the register grants it")
     {
         CHECK(owner.take<dispatch::start_attempt>().empty());
         REQUIRE(owner.take<register_begin>().size() == 1);
@@ -205,7 +205,7 @@
         REQUIRE(owner.take<dispatch::start_attempt>().size() == 1);
     }
 
-    SECTION("is answered once its outcome is recorded")
+    SECTION("the caller gets the answer after the outcome is recorded")
     {
         owner.feed(register_began{1, {register_status::granted, {}}});
         owner.answer_attempts();
@@ -217,33 +217,33 @@
         REQUIRE(owner.take<answer_caller>().size() == 1);
     }
 
-    SECTION("is answered from the record when it was run before")
+    SECTION("the recorded answer is returned if the request was executed before")
     {
         query_answer before;
         before.outcome = outcome::run;
         before.covered[1] = std::make_shared<const std::string>("paid");
         owner.feed(register_began{1, {register_status::done, nlohmann::json(before).dump()}});
-        const auto told = owner.take<answer_caller>();
-        REQUIRE(told.size() == 1);
-        CHECK(told[0].answer.repeated);
-        CHECK(*told[0].answer.covered.at(1) == "paid");
+        const auto answers = owner.take<answer_caller>();
+        REQUIRE(answers.size() == 1);
+        CHECK(answers[0].answer.repeated);
+        CHECK(*answers[0].answer.covered.at(1) == "paid");
         CHECK(owner.take<dispatch::start_attempt>().empty());
     }
 
-    SECTION("is unknown, never not run, while another may have run it or the register is silent")
+    SECTION("the outcome is unknown if the register is unsure or unreachable")
     {
         const auto status =
             GENERATE(register_status::in_progress, register_status::unknown, register_status::unreachable);
         owner.feed(register_began{1, {status, {}}});
-        const auto told = owner.take<answer_caller>();
-        REQUIRE(told.size() == 1);
-        CHECK(told[0].answer.outcome == outcome::unknown);
+        const auto answers = owner.take<answer_caller>();
+        REQUIRE(answers.size() == 1);
+        CHECK(answers[0].answer.outcome == outcome::unknown);
         CHECK(owner.take<dispatch::start_attempt>().empty());
     }
 
-    SECTION("a grant that comes after it was given up is returned as not run, and nothing is sent")
+    SECTION("a grant that arrives after the deadline is returned as not run, and nothing is sent")
     {
-        owner.pass(1001);
+        owner.advance(1001);
         REQUIRE(owner.take<answer_caller>().size() == 1);
         owner.feed(register_began{1, {register_status::granted, {}}});
         CHECK(owner.take<dispatch::start_attempt>().empty());
@@ -252,13 +252,13 @@
         CHECK(records[0].answer.outcome == outcome::not_run);
     }
 
-    SECTION("its owner lost after it was sent makes it unknown, and it isn't sent again")
+    SECTION("the loss of the owner after sending makes the outcome unknown without another attempt")
     {
-        driver other(other_name());
+        driver other(non_owner_name());
         other.feed(peer_reachable{instance_name(owner_name()), true});
-        other.ask(1, false);
+        other.send_query(1, false);
         other.feed(register_began{1, {register_status::granted, {}}});
-        REQUIRE(other.take<ask_peer>().size() == 1);
+        REQUIRE(other.take<delegate_to_peer>().size() == 1);
         other.feed(peer_reachable{instance_name(owner_name()), false});
         CHECK(other.take<dispatch::start_attempt>().empty());
         const auto records = other.take<register_finish>();
@@ -266,32 +266,32 @@
         CHECK(records[0].answer.outcome == outcome::unknown);
     }
 
-    SECTION("refused before the register was asked, it isn't called not run")
+    SECTION("a refusal before the register is asked leaves the outcome unknown")
     {
-        driver strange("e1");
+        driver driver_e1("e1");
         query_request request;
         request.service = dispatch_service;
         request.repeatable = false;
         request.shards = {77};
-        strange.feed(query_arrived{9, request});
-        const auto told = strange.take<answer_caller>();
-        REQUIRE(told.size() == 1);
-        CHECK(told[0].answer.refusal == errc::unknown_shard);
-        CHECK(told[0].answer.outcome == outcome::unknown);
+        driver_e1.feed(query_arrived{9, request});
+        const auto answers = driver_e1.take<answer_caller>();
+        REQUIRE(answers.size() == 1);
+        CHECK(answers[0].answer.refusal == errc::unknown_shard);
+        CHECK(answers[0].answer.outcome == outcome::unknown);
     }
 }
 
-TEST_CASE("a recorded trace gives the answers that it states", "[coordinator][replay]")
+TEST_CASE("the replay of a recorded trace reproduces the answers in the trace", "[coordinator][replay]")
 {
     std::ifstream trace(TRACE_FOLDER "/quickstart.jsonl");
     REQUIRE(trace);
     const replay_report report = replay(trace);
     INFO(report.found.to_text());
     CHECK_FALSE(report.found.has_errors());
-    CHECK(report.stated == 8);
-    CHECK(report.matching == report.stated);
+    CHECK(report.expected_answers == 8);
+    CHECK(report.matching_answers == report.expected_answers);
 
-    SECTION("and a changed statement is found")
+    SECTION("the replay reports a changed answer")
     {
         std::stringstream text;
         std::ifstream again(TRACE_FOLDER "/quickstart.jsonl");
--- a/tests/src/unit-platform.cpp
+++ b/tests/src/unit-platform.cpp
@@ -30,106 +30,108 @@
         "limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000}})");
 }
 
-change_result put(catalog_state& state, const json& document)
+change_result apply_document(catalog_state& state, const json& document)
 {
     findings found;
-    const change wanted = platform::read_configuration(document.dump(), found);
+    const change requested_change = platform::read_configuration(document.dump(), found);
     if (found.has_errors())
     {
         return {change_status::invalid, state.revision(), {}, found};
     }
-    return state.apply(wanted);
+    return state.apply(requested_change);
 }
 
 } // namespace
 
-TEST_CASE("the platform's configuration becomes the product's and comes back as it was sent", "[platform]")
+TEST_CASE("the platform's configuration is converted to the product's and back without loss", "[platform]")
 {
     catalog_state state;
-    REQUIRE(put(state, example()).status == change_status::accepted);
+    REQUIRE(apply_document(state, example()).status == change_status::accepted);
     CHECK(platform::write_configuration(state.current()) == example());
 
-    SECTION("its services are selected by label from the backend servers that registered")
+    SECTION("placement assigns registered backend servers to services by label")
     {
         configuration value = state.current();
-        registration said;
-        said.id = backend_server_name("i-1");
-        said.service = service_name("s1");
-        said.address = "10.0.0.1:80";
-        said.slots = 4;
-        value.backend_servers.emplace(said.id, to_backend_server(said, value.services.at(said.service)));
+        registration registered;
+        registered.id = backend_server_name("i-1");
+        registered.service = service_name("s1");
+        registered.address = "10.0.0.1:80";
+        registered.slots = 4;
+        value.backend_servers.emplace(registered.id,
+                                      to_backend_server(registered, value.services.at(registered.service)));
         const placement placed = place(1, value);
         CHECK(placed.services.at(service_name("s1"))->shards.at(0).size() == 1);
         CHECK(placed.services.at(service_name("s1"))->shards.at(0).at(0).connection_limit == 26);
         CHECK(placed.services.at(service_name("s2"))->shards.at(0).empty());
     }
-    SECTION("the highest version wins; an equal or lower one is acknowledged and changes nothing")
+    SECTION(
+        "a higher version replaces the configuration; an equal or lower one is acknowledged without effect")
     {
-        json other = example();
-        other["routes"].erase(0);
-        CHECK(put(state, other).status == change_status::superseded);
-        other["version"] = 6;
-        CHECK(put(state, other).status == change_status::superseded);
+        json changed_document = example();
+        changed_document["routes"].erase(0);
+        CHECK(apply_document(state, changed_document).status == change_status::superseded);
+        changed_document["version"] = 6;
+        CHECK(apply_document(state, changed_document).status == change_status::superseded);
         CHECK(platform::write_configuration(state.current()) == example());
-        other["version"] = 9;
-        CHECK(put(state, other).status == change_status::accepted);
-        CHECK(platform::write_configuration(state.current()) == other);
-        CHECK(put(state, example()).status == change_status::superseded);
+        changed_document["version"] = 9;
+        CHECK(apply_document(state, changed_document).status == change_status::accepted);
+        CHECK(platform::write_configuration(state.current()) == changed_document);
+        CHECK(apply_document(state, example()).status == change_status::superseded);
     }
-    SECTION("it survives a snapshot")
+    SECTION("the configuration is restored from a snapshot")
     {
-        const catalog_state again = catalog_state::deserialize(state.serialize());
-        CHECK(platform::write_configuration(again.current()) == example());
+        const catalog_state restored = catalog_state::deserialize(state.serialize());
+        CHECK(platform::write_configuration(restored.current()) == example());
     }
 }
 
-TEST_CASE("an invalid configuration of the platform's is refused and changes nothing", "[platform]")
+TEST_CASE("an invalid platform configuration is refused and changes nothing", "[platform]")
 {
     catalog_state state;
-    json bad = example();
-    SECTION("unknown service")
+    json invalid_document = example();
+    SECTION("a route names an unknown service")
     {
-        bad["routes"][0]["fanoutServices"][1] = "nowhere";
+        invalid_document["routes"][0]["fanoutServices"][1] = "nowhere";
     }
-    SECTION("two routes at the same host and prefix")
+    SECTION("two routes have the same host and prefix")
     {
-        bad["routes"][1]["pathPrefix"] = "/a/";
+        invalid_document["routes"][1]["pathPrefix"] = "/a/";
     }
-    SECTION("weights that add up to zero")
+    SECTION("the weights of a traffic split add up to zero")
     {
-        bad["routes"][2]["trafficSplit"] = {{{"service", "s1"}, {"weight", 0}}};
+        invalid_document["routes"][2]["trafficSplit"] = {{{"service", "s1"}, {"weight", 0}}};
     }
-    SECTION("a time-out of zero")
+    SECTION("the time-out of a route is zero")
     {
-        bad["routes"][0]["timeoutMs"] = 0;
+        invalid_document["routes"][0]["timeoutMs"] = 0;
     }
-    SECTION("no target")
+    SECTION("a route has no target")
     {
-        bad["routes"][1].erase("service");
+        invalid_document["routes"][1].erase("service");
     }
-    SECTION("a name of the wrong type")
+    SECTION("a service name has the wrong type")
     {
-        bad["services"][0]["name"] = 3;
+        invalid_document["services"][0]["name"] = 3;
     }
-    SECTION("routes of the wrong type")
+    SECTION("the list of routes has the wrong type")
     {
-        bad["routes"] = 3;
+        invalid_document["routes"] = 3;
     }
-    SECTION("routes left out")
+    SECTION("the list of routes is missing")
     {
-        bad.erase("routes");
+        invalid_document.erase("routes");
     }
-    SECTION("no version")
+    SECTION("the version is missing")
     {
-        bad.erase("version");
+        invalid_document.erase("version");
     }
-    const change_result result = put(state, bad);
+    const change_result result = apply_document(state, invalid_document);
     CHECK(result.status == change_status::invalid);
     CHECK(result.found.has_errors());
     CHECK(state.revision() == 0);
 }
 
-TEST_CASE("a configuration cut short is refused", "[platform]")
+TEST_CASE("a truncated configuration document is refused", "[platform]")
 {
     const std::string text = example().dump();
     findings found;
--- a/tests/src/unit-quorum-schedules.cpp
+++ b/tests/src/unit-quorum-schedules.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Fixed, so that the verdict is the same on every run.
+/// A fixed seed, so that every run gives the same result.
 constexpr const char* rapidcheck_parameters = "seed=20261202 max_success=1500";
 constexpr int steps = 1500;
 
@@ -20,33 +20,34 @@
     std::size_t committed = 0;
     std::size_t elections = 0;
     std::size_t repairs = 0;
-    const bool held = rc::check(name,
-                                [&]
-                                {
-                                    const auto seed = *rc::gen::noShrink(
-                                        rc::gen::resize(100, rc::gen::arbitrary<std::uint64_t>()));
-                                    quorum_harness harness(seed, replicas);
-                                    const std::string violated = harness.run(steps);
-                                    const std::string stuck = violated.empty() ? harness.settle() : violated;
-                                    if (!stuck.empty())
-                                    {
-                                        RC_FAIL("seed " + std::to_string(seed) + ": " + stuck);
-                                    }
-                                    committed += harness.committed();
-                                    elections += harness.elections();
-                                    repairs += harness.repairs();
-                                });
-    // The schedules must reach what they are meant to test.
+    const bool passed =
+        rc::check(name,
+                  [&]
+                  {
+                      const auto seed =
+                          *rc::gen::noShrink(rc::gen::resize(100, rc::gen::arbitrary<std::uint64_t>()));
+                      quorum_harness harness(seed, replicas);
+                      const std::string violation = harness.run(steps);
+                      const std::string failure = violation.empty() ? harness.settle() : violation;
+                      if (!failure.empty())
+                      {
+                          RC_FAIL("seed " + std::to_string(seed) + ": " + failure);
+                      }
+                      committed += harness.committed();
+                      elections += harness.elections();
+                      repairs += harness.repairs();
+                  });
+    // The schedules must contain enough of the events under test.
     INFO("committed " << committed << ", elections " << elections << ", repairs " << repairs);
     CHECK(committed > 10000);
     CHECK(elections > 3000);
     CHECK(repairs > 300);
-    return held;
+    return passed;
 }
 
 } // namespace
 
-TEST_CASE("seeded schedules of faults keep the promises of the replicated log", "[quorum][schedules]")
+TEST_CASE("the replicated log keeps its invariants under random schedules of faults", "[quorum][schedules]")
 {
     SECTION("three replicas")
     {
