--- a/src/control/control_implementation.hpp
+++ b/src/control/control_implementation.hpp
@@ -173,7 +173,7 @@
     /// link.
     void link_to_members();
 
-    /// Repairs the member set if this replica leads. See quorum::member_keeper.
+    /// Repairs the member set if this replica leads. See quorum::membership_planner.
     template <typename Machine>
     void maintain_membership(Machine& machine, const char* log_name, time_point now)
     {
